--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -58,7 +58,7 @@
 	Intent  Intent
 	// After is the point that a read has to cover; absent when the caller has
 	// shown no token.
-	After fleet.Option[fleet.Point]
+	After fleet.Option[fleet.LogPosition]
 	// MaxAge is the age of data that the caller accepts; zero when it stated
 	// none.
 	MaxAge   time.Duration
@@ -99,9 +99,9 @@
 	// Status is the transaction's state after the exchange, TxIdle if the zero
 	// value is left.
 	Status TxStatus
-	// Point is what the answer reflects: the caller's new token is the greater
+	// Position is what the answer reflects: the caller's new token is the greater
 	// of this and the one it had. Zero when nothing was learnt.
-	Point    fleet.Point
+	Position fleet.LogPosition
 	Instance fleet.Instance
 	Role     fleet.Role
 	// Pin and Holder are set while a transaction stays open.
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -35,55 +35,55 @@
 // Term counts the primaries of a group: each promotion raises it.
 type Term uint64
 
-// Position is an offset in a group's log, in log entries.
-type Position uint64
+// LogIndex is an offset in a group's log, in log entries.
+type LogIndex uint64
 
-// Point is a place in the history of a group. Points are ordered by term, then
+// LogPosition is a place in the history of a group. Points are ordered by term, then
 // by position: a promotion appends an entry in its own term, so a log that has
 // an entry of a later term holds every acknowledged entry of the earlier ones.
-type Point struct {
-	Term     Term     `json:"term"`
-	Position Position `json:"position"`
+type LogPosition struct {
+	Term  Term     `json:"term"`
+	Index LogIndex `json:"position"`
 }
 
 // Compare returns -1, 0 or +1 as p is before, at or after o.
-func (p Point) Compare(o Point) int {
+func (p LogPosition) Compare(o LogPosition) int {
 	if c := cmp.Compare(p.Term, o.Term); c != 0 {
 		return c
 	}
-	return cmp.Compare(p.Position, o.Position)
+	return cmp.Compare(p.Index, o.Index)
 }
 
 // Covers reports whether a log that has reached p holds everything up to o.
-func (p Point) Covers(o Point) bool {
+func (p LogPosition) Covers(o LogPosition) bool {
 	return p.Compare(o) >= 0
 }
 
 // IsZero reports whether p is before every entry.
-func (p Point) IsZero() bool {
-	return p == Point{}
+func (p LogPosition) IsZero() bool {
+	return p == LogPosition{}
 }
 
 // String returns the form that callers see, "term.position".
-func (p Point) String() string {
-	return fmt.Sprintf("%d.%d", p.Term, p.Position)
+func (p LogPosition) String() string {
+	return fmt.Sprintf("%d.%d", p.Term, p.Index)
 }
 
-// ParsePoint reads the form that String writes.
-func ParsePoint(s string) (Point, error) {
+// ParseLogPosition reads the form that String writes.
+func ParseLogPosition(s string) (LogPosition, error) {
 	term, position, ok := strings.Cut(s, ".")
 	if !ok {
-		return Point{}, fmt.Errorf("point %q: want term.position", s)
+		return LogPosition{}, fmt.Errorf("point %q: want term.position", s)
 	}
 	t, err := strconv.ParseUint(term, 10, 64)
 	if err != nil {
-		return Point{}, fmt.Errorf("point %q: term: %w", s, err)
+		return LogPosition{}, fmt.Errorf("point %q: term: %w", s, err)
 	}
 	n, err := strconv.ParseUint(position, 10, 64)
 	if err != nil {
-		return Point{}, fmt.Errorf("point %q: position: %w", s, err)
+		return LogPosition{}, fmt.Errorf("point %q: position: %w", s, err)
 	}
-	return Point{Term: Term(t), Position: Position(n)}, nil
+	return LogPosition{Term: Term(t), Index: LogIndex(n)}, nil
 }
 
 // Role is what an instance does in its group.
--- a/core/fleet/status.go
+++ b/core/fleet/status.go
@@ -9,7 +9,7 @@
 	Role     Role `json:"role"`
 	// Last is the last entry of the instance's log: its own term, which may be
 	// lower than Promised, and its position.
-	Last Point `json:"last"`
+	Last LogPosition `json:"last"`
 	// Follows is the instance that a replica copies from.
 	Follows Instance `json:"follows,omitempty"`
 }
--- a/core/fresh/fresh.go
+++ b/core/fresh/fresh.go
@@ -11,8 +11,8 @@
 // Sample is a point that the primary has given, asked for at a moment: it covers every
 // commit that was acknowledged before that.
 type Sample struct {
-	Point fleet.Point
-	Asked time.Time
+	Position fleet.LogPosition
+	Asked    time.Time
 	// Reign is the term in which the primary led that gave it. The point may be of an earlier
 	// one, as a promotion writes no entry.
 	Reign fleet.Term
--- a/core/fresh/fresh_test.go
+++ b/core/fresh/fresh_test.go
@@ -15,10 +15,10 @@
 func ExampleSamples() {
 	var s fresh.Samples
 	now := time.Unix(1000, 0)
-	s.Add(fresh.Sample{Point: fleet.Point{Term: 1, Position: 7}, Asked: now.Add(-2 * time.Second)})
-	s.Add(fresh.Sample{Point: fleet.Point{Term: 1, Position: 9}, Asked: now.Add(-time.Second)})
+	s.Add(fresh.Sample{Position: fleet.LogPosition{Term: 1, Index: 7}, Asked: now.Add(-2 * time.Second)})
+	s.Add(fresh.Sample{Position: fleet.LogPosition{Term: 1, Index: 9}, Asked: now.Add(-time.Second)})
 	n, ok := s.Oldest(now.Add(-1500 * time.Millisecond))
-	fmt.Println(n.Point, ok)
+	fmt.Println(n.Position, ok)
 	// Output: 1.9 true
 }
 
@@ -31,13 +31,13 @@
 		for _, ms := range rapid.SliceOfN(rapid.IntRange(0, 10_000), 0, 300).Draw(t, "asked") {
 			// The log at a moment is as long as the moment is late.
 			s.Add(fresh.Sample{
-				Point: fleet.Point{Term: 1, Position: fleet.Position(ms)}, Asked: base.Add(time.Duration(ms) * time.Millisecond),
+				Position: fleet.LogPosition{Term: 1, Index: fleet.LogIndex(ms)}, Asked: base.Add(time.Duration(ms) * time.Millisecond),
 			})
 		}
 		since := rapid.IntRange(0, 10_000).Draw(t, "since")
 		n, ok := s.Oldest(base.Add(time.Duration(since) * time.Millisecond))
-		if ok && int(n.Point.Position) < since {
-			t.Fatalf("sample %d for a read since %d", n.Point.Position, since)
+		if ok && int(n.Position.Index) < since {
+			t.Fatalf("sample %d for a read since %d", n.Position.Index, since)
 		}
 	})
 }
@@ -50,10 +50,10 @@
 	at := time.Unix(1000, 0)
 	for n := range 500 {
 		s.Add(fresh.Sample{
-			Point: fleet.Point{Term: 1, Position: fleet.Position(n)}, Asked: at.Add(time.Duration(n) * time.Second),
+			Position: fleet.LogPosition{Term: 1, Index: fleet.LogIndex(n)}, Asked: at.Add(time.Duration(n) * time.Second),
 		})
 	}
 	last, ok := s.Newest()
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(last.Point.Position, qt.Equals, fleet.Position(499))
+	c.Assert(last.Position.Index, qt.Equals, fleet.LogIndex(499))
 }
--- a/core/group/group.go
+++ b/core/group/group.go
@@ -46,7 +46,7 @@
 }
 
 // Age returns how old the data of a log that ends at p is at the most.
-func (t Table) Age(p fleet.Point, now time.Time) (time.Duration, bool) {
+func (t Table) Age(p fleet.LogPosition, now time.Time) (time.Duration, bool) {
 	return t.History.Age(p, now)
 }
 
--- a/core/group/group_test.go
+++ b/core/group/group_test.go
@@ -11,7 +11,7 @@
 	"skylarkdeal/core/group"
 )
 
-func status(n fleet.Instance, promised fleet.Term, r fleet.Role, last fleet.Point) fleet.Status {
+func status(n fleet.Instance, promised fleet.Term, r fleet.Role, last fleet.LogPosition) fleet.Status {
 	s := fleet.Status{Instance: n, Promised: promised, Role: r, Last: last}
 	if r == fleet.RoleReplica {
 		s.Follows = "a"
@@ -29,7 +29,7 @@
 		if n == "a" {
 			r = fleet.RolePrimary
 		}
-		g.Answer(n, start, start, status(n, 1, r, fleet.Point{Term: 1, Position: 5}))
+		g.Answer(n, start, start, status(n, 1, r, fleet.LogPosition{Term: 1, Index: 5}))
 	}
 	return g
 }
@@ -43,8 +43,8 @@
 func TestCrossedAnswersDontTurnBack(t *testing.T) {
 	c := qt.New(t)
 	g := three()
-	g.Answer("a", later(20), later(21), status("a", 2, fleet.RoleReplica, fleet.Point{Term: 1, Position: 5}))
-	g.Answer("a", later(10), later(30), status("a", 1, fleet.RolePrimary, fleet.Point{Term: 1, Position: 5}))
+	g.Answer("a", later(20), later(21), status("a", 2, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
+	g.Answer("a", later(10), later(30), status("a", 1, fleet.RolePrimary, fleet.LogPosition{Term: 1, Index: 5}))
 	c.Assert(g.Table(later(30)).Primary, qt.Equals, fleet.Instance(""))
 }
 
@@ -53,7 +53,7 @@
 func TestAnswerOfAnotherInstanceIsNotCounted(t *testing.T) {
 	c := qt.New(t)
 	g := three()
-	w := fleet.Point{Term: 1, Position: 6}
+	w := fleet.LogPosition{Term: 1, Index: 6}
 	g.Answer("a", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
 	g.Answer("b", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
 	g.Learn("b", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
@@ -67,11 +67,11 @@
 	c := qt.New(t)
 	g := three()
 	for _, n := range []fleet.Instance{"b", "c"} {
-		g.Answer(n, later(1), later(2), status(n, 2, fleet.RoleReplica, fleet.Point{Term: 1, Position: 5}))
+		g.Answer(n, later(1), later(2), status(n, 2, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
 	}
 	t2 := g.Table(later(2))
 	c.Assert(t2.Primary, qt.Equals, fleet.Instance(""))
-	w := fleet.Point{Term: 1, Position: 5}
+	w := fleet.LogPosition{Term: 1, Index: 5}
 	c.Assert(t2.Acknowledge(document.AcknowledgePrimary, w, start), qt.Equals, group.VerdictReplaced)
 }
 
@@ -82,9 +82,9 @@
 	// b has been left out of the last promotion, c has promised to a proposer
 	// whose promotion isn't over and would refuse.
 	for _, n := range []fleet.Instance{"a"} {
-		g.Answer(n, later(1), later(2), status(n, 2, fleet.RolePrimary, fleet.Point{Term: 2, Position: 6}))
+		g.Answer(n, later(1), later(2), status(n, 2, fleet.RolePrimary, fleet.LogPosition{Term: 2, Index: 6}))
 	}
-	g.Answer("c", later(1), later(2), status("c", 3, fleet.RoleReplica, fleet.Point{Term: 1, Position: 5}))
+	g.Answer("c", later(1), later(2), status("c", 3, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
 	c.Assert(group.Repair(g.Table(later(2))), qt.DeepEquals, []group.Order{{
 		Act: group.ActFollow, Instance: "b", Term: 2, Primary: "a", Address: "127.0.0.1:1",
 	}})
@@ -98,13 +98,13 @@
 	p, orders := group.Promote(start, g.Table(start), "h0/1/1", nil)
 	var promote []group.Order
 	for _, o := range orders {
-		st := status(o.Instance, p.Term, fleet.RoleReplica, fleet.Point{Term: 1, Position: 5})
+		st := status(o.Instance, p.Term, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5})
 		promote = append(promote, p.Done(later(1), o, st, nil)...)
 	}
 	c.Assert(promote, qt.HasLen, 1)
 	c.Assert(p.Tick(later(3000)), qt.HasLen, 0)
 	c.Assert(p.Phase, qt.Equals, group.PhaseFailed)
-	c.Assert(p.Done(later(3001), promote[0], status("a", 2, fleet.RolePrimary, fleet.Point{Term: 2, Position: 6}), nil),
+	c.Assert(p.Done(later(3001), promote[0], status("a", 2, fleet.RolePrimary, fleet.LogPosition{Term: 2, Index: 6}), nil),
 		qt.HasLen, 0)
 }
 
@@ -112,15 +112,15 @@
 	c := qt.New(t)
 	var h group.History
 	for ms := range 120_000 {
-		h = h.Add(group.Proof{Point: fleet.Point{Term: 1, Position: fleet.Position(ms)}, AsOf: later(ms)})
+		h = h.Add(group.Proof{Position: fleet.LogPosition{Term: 1, Index: fleet.LogIndex(ms)}, AsOf: later(ms)})
 	}
 	c.Assert(len(h) < 80, qt.IsTrue, qt.Commentf("%d proofs", len(h)))
 	now := later(120_000)
 	for _, age := range []int{10, 100, 1000, 5000, 30_000} {
-		got, ok := h.Age(fleet.Point{Term: 1, Position: fleet.Position(120_000 - age)}, now)
+		got, ok := h.Age(fleet.LogPosition{Term: 1, Index: fleet.LogIndex(120_000 - age)}, now)
 		want := time.Duration(age) * time.Millisecond
 		c.Check(ok && got >= want && got <= want*3/2+10*time.Millisecond, qt.IsTrue, qt.Commentf("%v for %v", got, want))
 	}
-	_, ok := h.Age(fleet.Point{Term: 1, Position: 1}, now)
+	_, ok := h.Age(fleet.LogPosition{Term: 1, Index: 1}, now)
 	c.Assert(ok, qt.IsFalse)
 }
--- a/core/group/grouptest/grouptest.go
+++ b/core/group/grouptest/grouptest.go
@@ -48,12 +48,12 @@
 }
 
 // Last returns the point of the last entry.
-func (i *Instance) Last() fleet.Point {
+func (i *Instance) Last() fleet.LogPosition {
 	n := len(i.Log)
 	if n == 0 {
-		return fleet.Point{}
+		return fleet.LogPosition{}
 	}
-	return fleet.Point{Term: i.Log[n-1].Term, Position: fleet.Position(n)}
+	return fleet.LogPosition{Term: i.Log[n-1].Term, Index: fleet.LogIndex(n)}
 }
 
 // Status returns what the instance says of itself.
@@ -104,13 +104,13 @@
 }
 
 // Append adds an entry at the primary and returns its point.
-func (i *Instance) Append(value string) (fleet.Point, error) {
+func (i *Instance) Append(value string) (fleet.LogPosition, error) {
 	if i.Role != fleet.RolePrimary {
-		return fleet.Point{}, ErrReplica
+		return fleet.LogPosition{}, ErrReplica
 	}
 	t := i.Last().Term
 	if i.Promised > t {
-		return fleet.Point{}, ErrFenced
+		return fleet.LogPosition{}, ErrFenced
 	}
 	i.Log = append(i.Log, Entry{Term: t, Value: value})
 	return i.Last(), nil
--- a/core/group/history.go
+++ b/core/group/history.go
@@ -46,9 +46,9 @@
 
 // Since returns the latest moment before which a log that ends at p is proven
 // to have every acknowledged write.
-func (h History) Since(p fleet.Point) (time.Time, bool) {
+func (h History) Since(p fleet.LogPosition) (time.Time, bool) {
 	for i := len(h) - 1; i >= 0; i-- {
-		if p.Covers(h[i].Point) {
+		if p.Covers(h[i].Position) {
 			return h[i].AsOf, true
 		}
 	}
@@ -57,16 +57,16 @@
 
 // Age returns how old the data of a log that ends at p is at the most, and
 // whether that can be proven.
-func (h History) Age(p fleet.Point, now time.Time) (time.Duration, bool) {
+func (h History) Age(p fleet.LogPosition, now time.Time) (time.Duration, bool) {
 	asOf, ok := h.Since(p)
 	return max(0, now.Sub(asOf)), ok
 }
 
 // Missing returns the earliest moment by which the primary is known to have had
 // more than a log that ends at p, and false when it isn't known to have more.
-func (h History) Missing(p fleet.Point) (time.Time, bool) {
+func (h History) Missing(p fleet.LogPosition) (time.Time, bool) {
 	for _, o := range h {
-		if !p.Covers(o.Point) {
+		if !p.Covers(o.Position) {
 			return o.AsOf, true
 		}
 	}
--- a/core/group/naive_test.go
+++ b/core/group/naive_test.go
@@ -68,9 +68,9 @@
 	}
 	r.reads++
 	r.reading = nil
-	r.token = session.Merge(r.token, d.answer.Point)
+	r.token = session.Merge(r.token, d.answer.Position)
 	if got, want := r.certain(d.log), r.naive.Read(); !slices.Equal(got, want) {
-		return fmt.Errorf("read at %v by a %s: %v, naive: %v", d.answer.Point, d.answer.Role, got, want)
+		return fmt.Errorf("read at %v by a %s: %v, naive: %v", d.answer.Position, d.answer.Role, got, want)
 	}
 	return nil
 }
--- a/core/group/proof.go
+++ b/core/group/proof.go
@@ -27,7 +27,7 @@
 // promotion fences a majority first, so a majority that is still at the write's
 // term after the commit shares an instance with any later promotion, and that
 // instance brings the write along. See docs/design/failover.md.
-func (t Table) Acknowledge(rule document.Acknowledge, w fleet.Point, since time.Time) Verdict {
+func (t Table) Acknowledge(rule document.Acknowledge, w fleet.LogPosition, since time.Time) Verdict {
 	need := t.Rules.majority(len(t.Seen))
 	var holds, replaced int
 	for _, s := range t.Seen {
@@ -47,11 +47,11 @@
 	return VerdictWait
 }
 
-// Proof says that a log which covers Point has every write that was
+// Proof says that a log which covers Position has every write that was
 // acknowledged before AsOf.
 type Proof struct {
-	Point fleet.Point `json:"point"`
-	AsOf  time.Time   `json:"as-of"`
+	Position fleet.LogPosition `json:"point"`
+	AsOf     time.Time         `json:"as-of"`
 }
 
 // Prove returns what the statuses prove: the last entry of the primary, as of
@@ -72,7 +72,7 @@
 	if p.Sent.Before(asOf) {
 		asOf = p.Sent
 	}
-	return Proof{Point: p.Status.Last, AsOf: asOf}, true
+	return Proof{Position: p.Status.Last, AsOf: asOf}, true
 }
 
 // FencedSince returns the latest moment up to which the statuses show that no
--- a/core/group/rules.go
+++ b/core/group/rules.go
@@ -15,7 +15,7 @@
 	Majority func(n int) int
 	// Unfenced is described at the function Unfenced, and so are the others.
 	Unfenced func(s Seen, t fleet.Term, since time.Time) bool
-	Holds    func(s Seen, w fleet.Point) bool
+	Holds    func(s Seen, w fleet.LogPosition) bool
 	Fenced   func(st fleet.Status, err error, t fleet.Term) bool
 	Highest  func(fenced map[fleet.Instance]fleet.Status, members []fleet.Instance) fleet.Instance
 }
@@ -35,7 +35,7 @@
 // Holds reports whether the instance's log has the entry at w. An entry of a
 // later term in a log doesn't tell that the log has w: it has to be counted for
 // an instance that was Unfenced at w's term in the same status.
-func Holds(s Seen, w fleet.Point) bool {
+func Holds(s Seen, w fleet.LogPosition) bool {
 	return s.Status.Last.Covers(w)
 }
 
@@ -81,7 +81,7 @@
 	return Unfenced(s, t, since)
 }
 
-func (r Rules) holds(s Seen, w fleet.Point) bool {
+func (r Rules) holds(s Seen, w fleet.LogPosition) bool {
 	if r.Holds != nil {
 		return r.Holds(s, w)
 	}
--- a/core/group/seen.go
+++ b/core/group/seen.go
@@ -117,7 +117,7 @@
 
 // copied takes what the entries that have just got here took: a log that ended at
 // last was known to miss something since then.
-func (s *Seen) copied(last fleet.Point, h History) {
+func (s *Seen) copied(last fleet.LogPosition, h History) {
 	// What a change of primary took is no lag of the replica.
 	if s.Status.Last == last || s.Status.Last.Term != last.Term {
 		return
--- a/core/group/stranded_test.go
+++ b/core/group/stranded_test.go
@@ -22,7 +22,7 @@
 	c.Assert(w.judge().Cause, qt.Equals, group.CauseNone)
 
 	other := group.View{Host: "h1", DataCentre: "dc-b", Instances: []group.InstanceView{{
-		Instance: "a", Reachable: true, Term: 1, Role: fleet.RolePrimary, Last: fleet.Point{Term: 1, Position: 9},
+		Instance: "a", Reachable: true, Term: 1, Role: fleet.RolePrimary, Last: fleet.LogPosition{Term: 1, Index: 9},
 	}}}
 	w.watch(9 * time.Second)
 	c.Assert(w.judge(other).Cause, qt.Equals, group.CauseNone)
--- a/core/group/view.go
+++ b/core/group/view.go
@@ -21,10 +21,10 @@
 	// Reachable is set when the instance owes no answer for long.
 	Reachable bool `json:"reachable"`
 	// Silent is how long it has owed an answer.
-	Silent time.Duration `json:"silent"`
-	Term   fleet.Term    `json:"term"`
-	Last   fleet.Point   `json:"last"`
-	Role   fleet.Role    `json:"role"`
+	Silent time.Duration     `json:"silent"`
+	Term   fleet.Term        `json:"term"`
+	Last   fleet.LogPosition `json:"last"`
+	Role   fleet.Role        `json:"role"`
 }
 
 // viewFresh is how old an answer may be for a host to say that it reaches an
--- a/core/group/watcher_test.go
+++ b/core/group/watcher_test.go
@@ -137,7 +137,7 @@
 func view(h fleet.Host, dc fleet.DataCentre, silent time.Duration) group.View {
 	return group.View{Host: h, DataCentre: dc, Instances: []group.InstanceView{{
 		Instance: "a", Reachable: silent == 0, Silent: silent, Term: 1,
-		Last: fleet.Point{Term: 1, Position: 1}, Role: fleet.RolePrimary,
+		Last: fleet.LogPosition{Term: 1, Index: 1}, Role: fleet.RolePrimary,
 	}}}
 }
 
--- a/core/group/world_check_test.go
+++ b/core/group/world_check_test.go
@@ -70,7 +70,7 @@
 func (w *world) stale(r *read) error {
 	if r.own != nil {
 		if !r.own.lost && !contains(r.log, r.own.write) {
-			return fmt.Errorf("read at %v by a %s misses its own %v", r.answer.Point, r.answer.Role, r.own.point)
+			return fmt.Errorf("read at %v by a %s misses its own %v", r.answer.Position, r.answer.Role, r.own.point)
 		}
 		return nil
 	}
@@ -80,14 +80,14 @@
 	}
 	for _, a := range w.acked {
 		if !a.lost && a.at.Before(bound) && !contains(r.log, a.write) {
-			return fmt.Errorf("read at %v by a %s misses %v", r.answer.Point, r.answer.Role, a.point)
+			return fmt.Errorf("read at %v by a %s misses %v", r.answer.Position, r.answer.Role, a.point)
 		}
 	}
 	return nil
 }
 
 func contains(log []grouptest.Entry, x write) bool {
-	i := int(x.point.Position) - 1
+	i := int(x.point.Index) - 1
 	return i < len(log) && log[i] == grouptest.Entry{Term: x.point.Term, Value: x.value}
 }
 
--- a/core/group/world_test.go
+++ b/core/group/world_test.go
@@ -55,7 +55,7 @@
 }
 
 type write struct {
-	point fleet.Point
+	point fleet.LogPosition
 	value string
 	since time.Time
 }
@@ -97,7 +97,7 @@
 	read     *read
 
 	status fleet.Status
-	point  fleet.Point
+	point  fleet.LogPosition
 	role   fleet.Role
 	log    []grouptest.Entry
 	err    error
@@ -347,7 +347,7 @@
 			h.writes = append(h.writes, write{point: m.point, value: m.value, since: w.now})
 		}
 	case messageRead:
-		m.read.answer = session.Answer{Point: m.point, Role: m.role}
+		m.read.answer = session.Answer{Position: m.point, Role: m.role}
 		m.read.log, m.read.got = m.log, true
 	case messageOrder:
 		if h.promotion != nil {
--- a/core/leader/decide.go
+++ b/core/leader/decide.go
@@ -24,7 +24,7 @@
 	Doubters, Vouchers int
 	Doubted            time.Duration
 	// Received is the end of its log, as it was last heard.
-	Received fleet.Point
+	Received fleet.LogPosition
 }
 
 // Situation is what a decision on a group's primary goes by.
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -28,7 +28,7 @@
 	m := map[fleet.Instance]*leader.Member{}
 	for _, n := range []fleet.Instance{"a", "b", "c"} {
 		m[n] = &leader.Member{
-			Name: n, Reachable: true, Leads: n == "a", Term: 1, Received: fleet.Point{Term: 1, Position: 5},
+			Name: n, Reachable: true, Leads: n == "a", Term: 1, Received: fleet.LogPosition{Term: 1, Index: 5},
 		}
 	}
 	change(m)
@@ -167,7 +167,7 @@
 		{"it leaves", func(m map[fleet.Instance]*leader.Member) { m["a"].Leaving = true }, leader.ReasonLeaving, "b"},
 		{"it has gone", func(m map[fleet.Instance]*leader.Member) { m["a"].Gone = true }, leader.ReasonGone, "b"},
 		{"the farthest log is promoted", func(m map[fleet.Instance]*leader.Member) {
-			m["a"].Gone, m["c"].Received.Position = true, 6
+			m["a"].Gone, m["c"].Received.Index = true, 6
 		}, leader.ReasonGone, "c"},
 		{"not one that leaves", func(m map[fleet.Instance]*leader.Member) {
 			m["a"].Gone, m["b"].Leaving = true, true
--- a/core/place/choose.go
+++ b/core/place/choose.go
@@ -190,7 +190,7 @@
 // which a majority has to answer. A primary that has been replaced on the other
 // side of a cut never covers a token of a later term.
 func primaryServes(now time.Time, f Facts, t group.Table, s group.Seen) bool {
-	a := session.Answer{Point: s.Status.Last, Role: fleet.RolePrimary}
+	a := session.Answer{Position: s.Status.Last, Role: fleet.RolePrimary}
 	if f.Need.Satisfied(a, now, t) {
 		return true
 	}
@@ -210,7 +210,7 @@
 // catchUp sets how long a replica takes to satisfy the read: its usual lag, as
 // the entry may have been written just now.
 func (o *option) catchUp(now time.Time, f Facts, t group.Table, s group.Seen) bool {
-	a := session.Answer{Point: s.Status.Last, Role: fleet.RoleReplica}
+	a := session.Answer{Position: s.Status.Last, Role: fleet.RoleReplica}
 	if f.Need.Satisfied(a, now.Add(min(ageMargin, f.Need.MaxAge/2)), t) {
 		return true
 	}
--- a/core/place/cutoff_test.go
+++ b/core/place/cutoff_test.go
@@ -40,8 +40,8 @@
 	read := func(n session.Need) place.Facts {
 		return place.Facts{Intent: exchange.IntentRead, Need: n}
 	}
-	own := read(session.Need{After: fleet.Some(fleet.Point{Term: 1, Position: 1})})
-	ahead := read(session.Need{After: fleet.Some(fleet.Point{Term: 2, Position: 9})})
+	own := read(session.Need{After: fleet.Some(fleet.LogPosition{Term: 1, Index: 1})})
+	ahead := read(session.Need{After: fleet.Some(fleet.LogPosition{Term: 2, Index: 9})})
 	young := read(session.Need{MaxAge: time.Second})
 	old := read(session.Need{MaxAge: 5 * time.Second})
 	write := place.Facts{Intent: exchange.IntentWrite}
--- a/core/place/sim_test.go
+++ b/core/place/sim_test.go
@@ -54,7 +54,7 @@
 	started time.Time
 	ends    time.Time
 	choice  place.Choice
-	reads   fleet.Point
+	reads   fleet.LogPosition
 	class   string
 }
 
@@ -86,12 +86,12 @@
 }
 
 // last is the end of an instance's log; a is the primary.
-func (s *sim) last(n fleet.Instance) fleet.Point {
+func (s *sim) last(n fleet.Instance) fleet.LogPosition {
 	p := len(s.log)
 	if n != "a" {
 		p, _ = slices.BinarySearchFunc(s.log, s.now.Add(-s.lag), time.Time.Compare)
 	}
-	return fleet.Point{Term: 1, Position: fleet.Position(p)}
+	return fleet.LogPosition{Term: 1, Index: fleet.LogIndex(p)}
 }
 
 const tick = 500 * time.Microsecond
--- a/core/relay/event.go
+++ b/core/relay/event.go
@@ -49,7 +49,7 @@
 	Consistency catalog.Consistency
 	// Need is the point that a read had to cover, Has where the instance's log stood, Received
 	// the end of what the instance had received, as it said itself.
-	Need, Has, Received fleet.Point
+	Need, Has, Received fleet.LogPosition
 	// Age is that of what decided.
 	Age time.Duration
 	// Took is the time from the caller's statement to this event.
--- a/core/relay/forward_test.go
+++ b/core/relay/forward_test.go
@@ -132,7 +132,7 @@
 	f := relay.Forward{
 		Stream: 1, Service: service, Instance: "b", Account: "hotel", Left: time.Second, Wait: time.Second, Open: true,
 		Statements: []statement.Statement{
-			{ID: "b", Kind: statement.KindBeginRead, After: fleet.Some(fleet.Point{Term: 1, Position: 9})},
+			{ID: "b", Kind: statement.KindBeginRead, After: fleet.Some(fleet.LogPosition{Term: 1, Index: 9})},
 			{ID: "r", Kind: statement.KindRead, Text: "item"},
 		},
 	}
--- a/core/relay/history_test.go
+++ b/core/relay/history_test.go
@@ -44,7 +44,7 @@
 // what delivers an answer that b gave before.
 func lateWord(c *qt.C) (*world, func()) {
 	w := acquainted(c)
-	w.instances["a"].point.Position = 9
+	w.instances["a"].point.Index = 9
 	w.lose("a")
 	w.pass(1900*time.Millisecond, true)
 	b := w.instances["b"]
@@ -54,7 +54,7 @@
 	c.Assert(b.pending, qt.HasLen, 2, qt.Commentf("an answer, and a second connection"))
 	asReplica, connected := b.pending[0], b.pending[1]
 	b.pending, b.hold = nil, false
-	w.promote().point.Position = 9
+	w.promote().point.Index = 9
 	w.instances["c"].term = 2
 	connected()
 	return w, asReplica
@@ -92,7 +92,7 @@
 func TestReplicaIsReadOnceItIsInTheTermOfTheReign(t *testing.T) {
 	c := qt.New(t)
 	w := acquainted(c)
-	w.instances["a"].point.Position = 6
+	w.instances["a"].point.Index = 6
 	w.lose("a")
 	w.relay.Recorded(toSuccessor)
 	w.pass(1900*time.Millisecond, true)
@@ -137,7 +137,7 @@
 	w := newWorld(c).settled()
 	w.relay.Recorded(toSuccessor)
 	w.pass(1050*time.Millisecond, true)
-	w.promote().point = fleet.Point{Term: 2, Position: 6}
+	w.promote().point = fleet.LogPosition{Term: 2, Index: 6}
 	ran, x := w.reads("rush", 100*time.Millisecond, true)
 	c.Assert(ran["a"], qt.Equals, 0, qt.Commentf("a lacks what b has acknowledged"))
 	c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
@@ -154,7 +154,7 @@
 			w := newWorld(c).settled()
 			w.open("rush", "key-1").do(statement.KindRead, "", "for the sample")
 			w.pass(4*time.Second, false)
-			w.promote().point = fleet.Point{Term: 2, Position: 6}
+			w.promote().point = fleet.LogPosition{Term: 2, Index: 6}
 			w.pass(3*time.Second, false)
 			ran, _ := w.reads(d, 100*time.Millisecond, false)
 			c.Assert(ran["a"], qt.Equals, 0, qt.Commentf("a lacks what b has acknowledged 3 s before"))
--- a/core/relay/instance.go
+++ b/core/relay/instance.go
@@ -18,9 +18,9 @@
 	// lent counts the connections over other hosts.
 	lent int
 	// point is the farthest that its log is known to have reached.
-	point fleet.Point
+	point fleet.LogPosition
 	// received is the end of its log, as it last told when it was asked.
-	received fleet.Point
+	received fleet.LogPosition
 	// leads is whether it last said that it is a primary, term the term that it said, and
 	// toldAt when that was.
 	leads  bool
--- a/core/relay/model_group_test.go
+++ b/core/relay/model_group_test.go
@@ -14,7 +14,7 @@
 
 // commit is one entry of a log, with what became of it.
 type commit struct {
-	point fleet.Point
+	point fleet.LogPosition
 	// by is the session of the host under test that wrote it, zero for another host's.
 	by int
 	// acknowledged is when its writer was told, zero if it never was.
@@ -96,9 +96,9 @@
 	return time.Duration(least)*time.Millisecond + time.Duration(m.r.Int64N(int64(most-least+1)*int64(time.Millisecond)))
 }
 
-func (s *server) point() fleet.Point {
+func (s *server) point() fleet.LogPosition {
 	if s.applied == 0 {
-		return fleet.Point{Term: 1}
+		return fleet.LogPosition{Term: 1}
 	}
 	return s.log[s.applied-1].point
 }
@@ -106,7 +106,7 @@
 // write appends a commit at a server that leads, and sends it to those that follow it.
 func (m *model) write(s *server, by int) *commit {
 	last := s.point()
-	c := &commit{point: fleet.Point{Term: s.term, Position: last.Position + 1}, by: by}
+	c := &commit{point: fleet.LogPosition{Term: s.term, Index: last.Index + 1}, by: by}
 	c.late = s.name != m.primary
 	c.undone = c.late
 	s.log = append(s.log, c)
@@ -224,7 +224,7 @@
 }
 
 func (w *wire) reply(a statement.Answer, give func(a statement.Answer)) {
-	a.State, a.Point = w.state, fleet.Some(w.s.point())
+	a.State, a.Position = w.state, fleet.Some(w.s.point())
 	w.back = later(w.back, w.m.now.Add(w.delay))
 	w.m.at(w.back, func() {
 		w.arrive(func() {
@@ -262,7 +262,7 @@
 			received = s.log[n-1].point
 		}
 		answer(statement.Answer{Rows: []string{
-			fmt.Sprintf("%s %d %d %d", s.role, s.term, received.Term, received.Position),
+			fmt.Sprintf("%s %d %d %d", s.role, s.term, received.Term, received.Index),
 		}})
 	case statement.KindWrite:
 		if s.role != fleet.RolePrimary {
--- a/core/relay/model_test.go
+++ b/core/relay/model_test.go
@@ -377,7 +377,7 @@
 		if c.undone || c.acknowledged.IsZero() || !owed {
 			continue
 		}
-		n := int(c.point.Position)
+		n := int(c.point.Index)
 		if n > s.applied || s.log[n-1] != c {
 			m.fault("read %s, begun at %.3f with %v, ran on %s at %v, which lacks %v, acknowledged at %.3f",
 				id, r.begun.Sub(m.began).Seconds(), r.age, s.name, s.point(), c.point, c.acknowledged.Sub(m.began).Seconds())
--- a/core/relay/node_test.go
+++ b/core/relay/node_test.go
@@ -16,7 +16,7 @@
 	name   fleet.Instance
 	role   fleet.Role
 	term   fleet.Term
-	point  fleet.Point
+	point  fleet.LogPosition
 	conns  []*link
 	ran    []string
 	silent bool
@@ -54,7 +54,7 @@
 
 func (n *node) answer(l *link, a statement.Answer) statement.Answer {
 	a.State = l.state
-	a.Point = fleet.Some(n.point)
+	a.Position = fleet.Some(n.point)
 	return a
 }
 
@@ -113,7 +113,7 @@
 		if q.Term > n.term {
 			n.role, n.term = fleet.RoleReplica, q.Term
 		}
-		a.Rows = []string{fmt.Sprintf("%s %d %d %d", n.role, n.term, n.point.Term, n.point.Position)}
+		a.Rows = []string{fmt.Sprintf("%s %d %d %d", n.role, n.term, n.point.Term, n.point.Index)}
 	default:
 		return n.work(l, q)
 	}
@@ -151,7 +151,7 @@
 		l.state, l.writes = statement.TxNone, false
 	}
 	if writes && l.state == statement.TxNone || q.Kind == statement.KindCommit {
-		n.point = fleet.Point{Term: n.term, Position: n.point.Position + 1}
+		n.point = fleet.LogPosition{Term: n.term, Index: n.point.Index + 1}
 	}
 	return n.answer(l, statement.Answer{Rows: []string{"row"}, Digest: "d-" + string(n.name)})
 }
--- a/core/relay/operation.go
+++ b/core/relay/operation.go
@@ -41,7 +41,7 @@
 	// ran is set once it was sent to any instance.
 	ran bool
 	// after is the point that the read was sent with.
-	after fleet.Option[fleet.Point]
+	after fleet.Option[fleet.LogPosition]
 	// answer waits for its proof.
 	answer *statement.Answer
 	// over is set once the caller has its answer.
@@ -192,7 +192,7 @@
 	o.g.running[o.key] = o
 	o.conn = c
 	o.tries++
-	if s, ok := o.need(); ok && !c.inst.point.Covers(s.Point) {
+	if s, ok := o.need(); ok && !c.inst.point.Covers(s.Position) {
 		c.inst.trial = o
 	}
 	c.setState(connBusy)
@@ -220,9 +220,9 @@
 			o.unready(statement.CodeLagging, statement.TxNone)
 			return
 		}
-		o.after = fleet.Option[fleet.Point]{}
+		o.after = fleet.Option[fleet.LogPosition]{}
 		if ok {
-			o.after = fleet.Some(s.Point)
+			o.after = fleet.Some(s.Position)
 		}
 	}
 	sets := len(qs)
--- a/core/relay/place.go
+++ b/core/relay/place.go
@@ -16,8 +16,8 @@
 	if !ok {
 		return fresh.Sample{}, false
 	}
-	if o.route.Consistency == catalog.ConsistencySession && !s.Point.Covers(o.s.written) {
-		s.Point = o.s.written
+	if o.route.Consistency == catalog.ConsistencySession && !s.Position.Covers(o.s.written) {
+		s.Position = o.s.written
 	}
 	return s, true
 }
@@ -137,7 +137,7 @@
 	}
 	g.readAt = now
 	s, ok := g.needs(o)
-	return ok && i.joined(s) && (i.point.Covers(s.Point) || i.mayTry(now, o))
+	return ok && i.joined(s) && (i.point.Covers(s.Position) || i.mayTry(now, o))
 }
 
 // way returns how an operation can reach an instance now, false while the link to its holder
--- a/core/relay/primary_test.go
+++ b/core/relay/primary_test.go
@@ -129,7 +129,7 @@
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.relay.HoldDuty(true)
-	w.instances["c"].point.Position = 9
+	w.instances["c"].point.Index = 9
 	for range 15 {
 		w.relay.Doubted("h2", nil, nil)
 		w.pass(100*time.Millisecond, true)
--- a/core/relay/prove.go
+++ b/core/relay/prove.go
@@ -11,7 +11,7 @@
 
 // evidence takes in what every answer tells: where the instance's log stands.
 func (g *group) evidence(c *Conn, asked time.Time, a statement.Answer) {
-	p, ok := a.Point.Get()
+	p, ok := a.Position.Get()
 	if !ok {
 		return
 	}
@@ -28,7 +28,7 @@
 	if asked.Before(g.settledAt) {
 		return
 	}
-	s := fresh.Sample{Point: p, Asked: asked, Reign: t}
+	s := fresh.Sample{Position: p, Asked: asked, Reign: t}
 	switch {
 	case g.r.lease.Certain(now):
 		g.sampled(c.Instance, s)
@@ -69,7 +69,7 @@
 	g.samples.Add(s)
 	if g.changing(g.r.now()) && g.sampledAt.Before(g.changedAt) {
 		g.r.note(Event{
-			Kind: EventLeader, Service: g.name, Instance: i, Has: s.Point, Term: s.Reign,
+			Kind: EventLeader, Service: g.name, Instance: i, Has: s.Position, Term: s.Reign,
 			Choice: "let reads go by its point", Reason: "the first since the order", Age: g.r.now().Sub(s.Asked),
 		})
 	}
@@ -174,7 +174,7 @@
 	if o.lead || g.primary() != c.inst || g.sole().Before(o.age) {
 		return false
 	}
-	p, ok := a.Point.Get()
+	p, ok := a.Position.Get()
 	return ok && p.Covers(o.s.written)
 }
 
@@ -207,7 +207,7 @@
 
 // confirmed gives a proved answer.
 func (g *group) confirmed(o *operation, a statement.Answer) {
-	if p, ok := a.Point.Get(); ok && o.writes && !o.s.written.Covers(p) {
+	if p, ok := a.Position.Get(); ok && o.writes && !o.s.written.Covers(p) {
 		o.s.written = p
 	}
 	o.finish(a)
@@ -219,8 +219,8 @@
 	if o == nil || o.over {
 		return
 	}
-	if p, ok := o.answer.Point.Get(); ok && !o.sentAt.Before(g.settledAt) {
-		g.sampled(c.Instance, fresh.Sample{Point: p, Asked: o.sentAt, Reign: c.Term})
+	if p, ok := o.answer.Position.Get(); ok && !o.sentAt.Before(g.settledAt) {
+		g.sampled(c.Instance, fresh.Sample{Position: p, Asked: o.sentAt, Reign: c.Term})
 	}
 	g.confirmed(o, *o.answer)
 }
--- a/core/relay/reign_test.go
+++ b/core/relay/reign_test.go
@@ -19,7 +19,7 @@
 	c := qt.New(t)
 	w := acquainted(c)
 	a, b, other := w.instances["a"], w.instances["b"], w.instances["c"]
-	a.point.Position = 9
+	a.point.Index = 9
 	w.relay.LeaseLost()
 	w.pass(1350*time.Millisecond, false)
 	b.hold, other.hold = true, true
@@ -31,7 +31,7 @@
 	c.Assert(len(b.ran) > 0, qt.IsTrue, qt.Commentf("no read on b"))
 	late := b.pending
 	b.pending, b.hold, other.hold = nil, false, false
-	w.promote().point.Position = 9
+	w.promote().point.Index = 9
 	other.term, a.term, a.role = 2, 2, fleet.RoleReplica
 	w.relay.Recorded(toSuccessor)
 	for _, f := range late[1:] {
@@ -77,7 +77,7 @@
 			w := newWorld(c).settled()
 			w.relay.LeaseLost()
 			w.pass(1500*time.Millisecond, false)
-			w.promote().point = fleet.Point{Term: 2, Position: 9}
+			w.promote().point = fleet.LogPosition{Term: 2, Index: 9}
 			w.relay.Recorded(leader.Record{Service: service, Term: 3, Primary: "c", Former: "a", Revision: 9})
 			w.pass(100*time.Millisecond, true)
 			w.open("rush", "key-1").do(k, "", "item")
@@ -99,7 +99,7 @@
 		w.pass(d, true)
 	}
 	w.pass(3500*time.Millisecond, false)
-	w.promote().point = fleet.Point{Term: 2, Position: 9}
+	w.promote().point = fleet.LogPosition{Term: 2, Index: 9}
 	ran, _ := w.reads("rush", 100*time.Millisecond, false)
 	c.Assert(ran["a"], qt.Equals, 0)
 }
@@ -111,7 +111,7 @@
 	w := newWorld(c).settled()
 	a := w.instances["a"]
 	w.cut(a)
-	a.role, a.point = fleet.RoleReplica, fleet.Point{}
+	a.role, a.point = fleet.RoleReplica, fleet.LogPosition{}
 	is := []catalog.Instance{}
 	for _, n := range []fleet.Instance{"a", "b", "c"} {
 		is = append(is, catalog.Instance{
@@ -131,7 +131,7 @@
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.pass(4*time.Second, false)
-	w.promote().point = fleet.Point{Term: 2, Position: 6}
+	w.promote().point = fleet.LogPosition{Term: 2, Index: 6}
 	w.reads("rush", 400*time.Millisecond, false)
 	x := w.open("rush", "key-1")
 	x.do(statement.KindWrite, "", "item data")
@@ -197,7 +197,7 @@
 	w.open("rush", "key-1").do(statement.KindRead, "", "first")
 	w.pass(20*time.Millisecond, false)
 	c.Assert(b.pending, qt.Not(qt.HasLen), 0)
-	w.promote().point = fleet.Point{Term: 2, Position: 6}
+	w.promote().point = fleet.LogPosition{Term: 2, Index: 6}
 	w.pass(20*time.Millisecond, false)
 	w.open("rush", "key-1").do(statement.KindRead, "", "second")
 	b.hold = false
@@ -211,7 +211,7 @@
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.pass(4*time.Second, false)
-	w.promote().point = fleet.Point{Term: 2, Position: 6}
+	w.promote().point = fleet.LogPosition{Term: 2, Index: 6}
 	w.pass(time.Second, false)
 	a := w.instances["a"]
 	x := w.open("rush", "key-1")
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -64,7 +64,7 @@
 	x.do(statement.KindExecute, "s0", "item")
 	c.Assert(w.instances["a"].point, qt.Equals, before)
 	y.do(statement.KindExecute, "s0", "item data")
-	c.Assert(w.instances["a"].point.Position, qt.Equals, before.Position+1)
+	c.Assert(w.instances["a"].point.Index, qt.Equals, before.Index+1)
 	c.Assert(x.do(statement.KindExecute, "s9", "item"), qt.Not(qt.Equals), "")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeNotPrepared)
 }
--- a/core/relay/session.go
+++ b/core/relay/session.go
@@ -46,7 +46,7 @@
 	// op is the statement in progress.
 	op *operation
 	// written is the session's last commit, which its reads have to show.
-	written fleet.Point
+	written fleet.LogPosition
 	// closing, when set, ends the session at its next rest.
 	closing *ending
 }
@@ -78,7 +78,7 @@
 	read         bool
 	begin        statement.ID
 	// after is the point that the instance's log has to cover, if another host says so.
-	after fleet.Option[fleet.Point]
+	after fleet.Option[fleet.LogPosition]
 	// asked is when it began, at rest is when its last statement ended.
 	asked, rest time.Time
 	// conn runs it, from its first statement on.
--- a/core/relay/state.go
+++ b/core/relay/state.go
@@ -44,15 +44,15 @@
 
 // InstanceState is what a relay knows of one instance.
 type InstanceState struct {
-	Instance    fleet.Instance `json:"instance"`
-	Point       fleet.Point    `json:"point"`
-	Leaving     bool           `json:"leaving"`
-	Gone        bool           `json:"gone"`
-	Doubtful    bool           `json:"doubtful"`
-	Holder      fleet.Host     `json:"holder,omitempty"`
-	Connections int            `json:"connections"`
-	Work        time.Duration  `json:"work"`
-	Silent      time.Duration  `json:"silent"`
+	Instance    fleet.Instance    `json:"instance"`
+	Position    fleet.LogPosition `json:"point"`
+	Leaving     bool              `json:"leaving"`
+	Gone        bool              `json:"gone"`
+	Doubtful    bool              `json:"doubtful"`
+	Holder      fleet.Host        `json:"holder,omitempty"`
+	Connections int               `json:"connections"`
+	Work        time.Duration     `json:"work"`
+	Silent      time.Duration     `json:"silent"`
 }
 
 // State returns what the relay knows and does now.
@@ -88,7 +88,7 @@
 	for _, i := range g.instances {
 		p, _ := g.r.holder(i)
 		s.Instances = append(s.Instances, InstanceState{
-			Instance: i.info.Name, Point: i.point, Leaving: i.info.Leaving, Gone: i.gone, Doubtful: i.doubtful(now),
+			Instance: i.info.Name, Position: i.point, Leaving: i.info.Leaving, Gone: i.gone, Doubtful: i.doubtful(now),
 			Holder: p.Host, Connections: len(i.conns), Work: i.work, Silent: now.Sub(i.lastHeard),
 		})
 	}
--- a/core/relay/world_test.go
+++ b/core/relay/world_test.go
@@ -84,7 +84,7 @@
 		Note:        func(e relay.Event) { w.events = append(w.events, e) },
 	})
 	for n, name := range []fleet.Instance{"a", "b", "c"} {
-		i := &node{name: name, role: fleet.RoleReplica, term: 1, point: fleet.Point{Term: 1, Position: 5}}
+		i := &node{name: name, role: fleet.RoleReplica, term: 1, point: fleet.LogPosition{Term: 1, Index: 5}}
 		if n == 0 {
 			i.role = fleet.RolePrimary
 		}
@@ -144,7 +144,7 @@
 
 // instancesOf makes one instance of another service, which answers as the primary.
 func (w *world) instancesOf(s fleet.Service, name fleet.Instance) []catalog.Instance {
-	w.instances[name] = &node{name: name, role: fleet.RolePrimary, term: 1, point: fleet.Point{Term: 1, Position: 5}}
+	w.instances[name] = &node{name: name, role: fleet.RolePrimary, term: 1, point: fleet.LogPosition{Term: 1, Index: 5}}
 	w.extra = append(w.extra, catalog.Instance{
 		Name: name, Service: s, Address: "10.0.0.1:" + string(name), DataCentre: "obihiro", Slots: 2,
 		Role: fleet.RolePrimary,
@@ -226,7 +226,7 @@
 	if len(a.Rows) != 1 {
 		return s, false
 	}
-	_, err := fmt.Sscanf(a.Rows[0], "%s %d %d %d", &s.Role, &s.Term, &s.Received.Term, &s.Received.Position)
+	_, err := fmt.Sscanf(a.Rows[0], "%s %d %d %d", &s.Role, &s.Term, &s.Received.Term, &s.Received.Index)
 	return s, err == nil
 }
 
--- a/core/session/session.go
+++ b/core/session/session.go
@@ -13,7 +13,7 @@
 // Token is what a caller's session carries from host to host: the point that
 // its reads have to cover. It holds all there is to know, so that no host keeps
 // state for a session that has roamed away.
-type Token = fleet.Point
+type Token = fleet.LogPosition
 
 // Merge returns the token of a session that had a and has learnt b.
 func Merge(a, b Token) Token {
@@ -25,7 +25,7 @@
 
 // Answer is what an instance's answer to a read reflects.
 type Answer struct {
-	Point fleet.Point
+	Position fleet.LogPosition
 	// Role is what the instance was when it answered.
 	Role fleet.Role
 }
@@ -34,7 +34,7 @@
 type Need struct {
 	// After is the point to cover: the session's token, or a fresh point that
 	// was obtained in its stead.
-	After fleet.Option[fleet.Point]
+	After fleet.Option[fleet.LogPosition]
 	// MaxAge is the oldest data that will do; zero when the caller states none.
 	MaxAge time.Duration
 	// Arrived is when the read came in. It counts when neither of the others is
@@ -63,8 +63,8 @@
 	if !n.Latest() || p.AsOf.Before(n.Arrived) {
 		return n
 	}
-	n.After = fleet.Some(p.Point)
-	n.fresh = fleet.Some(p.Point.Term)
+	n.After = fleet.Some(p.Position)
+	n.fresh = fleet.Some(p.Position.Term)
 	return n
 }
 
@@ -76,7 +76,7 @@
 // point comes with the answer itself, so that a status of the instance that was
 // read earlier, later or on another connection can't vouch for it.
 func (n Need) Satisfied(a Answer, at time.Time, t group.Table) bool {
-	if after, ok := n.After.Get(); ok && !a.Point.Covers(after) && !n.current(a) {
+	if after, ok := n.After.Get(); ok && !a.Position.Covers(after) && !n.current(a) {
 		return false
 	}
 	if n.MaxAge > 0 && !n.reflects(a, at.Add(-n.MaxAge), t) {
@@ -93,7 +93,7 @@
 // maybe after the read's start at the primary too, and may lie beyond it.
 func (n Need) current(a Answer) bool {
 	t, ok := n.fresh.Get()
-	return ok && a.Role == fleet.RolePrimary && a.Point.Term == t
+	return ok && a.Role == fleet.RolePrimary && a.Position.Term == t
 }
 
 // reflects reports whether the answer has every write acknowledged before since:
@@ -103,12 +103,12 @@
 // A primary's answer is only known to be younger than its read. One that came
 // in late is older than the latest proof, which so can't vouch for it.
 func (n Need) reflects(a Answer, since time.Time, t group.Table) bool {
-	if asOf, ok := t.History.Since(a.Point); ok && !asOf.Before(since) {
+	if asOf, ok := t.History.Since(a.Position); ok && !asOf.Before(since) {
 		return true
 	}
 	if a.Role != fleet.RolePrimary || n.Arrived.Before(since) {
 		return false
 	}
-	asOf, ok := t.FencedSince(a.Point.Term)
+	asOf, ok := t.FencedSince(a.Position.Term)
 	return ok && !asOf.Before(since)
 }
--- a/core/statement/statement.go
+++ b/core/statement/statement.go
@@ -57,7 +57,7 @@
 	Text string
 	// After is the point that the instance's log has to cover for a read or the
 	// begin of a transaction; else it refuses to run it.
-	After fleet.Option[fleet.Point]
+	After fleet.Option[fleet.LogPosition]
 	// Term is that of a KindStepDown.
 	Term fleet.Term
 }
@@ -120,8 +120,8 @@
 	// RetryAfter is when the caller had best come back; zero gives no hint.
 	RetryAfter time.Duration
 	State      TxState
-	// Point is how far the instance's log reached.
-	Point fleet.Option[fleet.Point]
+	// Position is how far the instance's log reached.
+	Position fleet.Option[fleet.LogPosition]
 }
 
 // Status is what an instance says of itself when it is asked.
@@ -129,5 +129,5 @@
 	Role fleet.Role
 	Term fleet.Term
 	// Received is the end of the instance's log.
-	Received fleet.Point
+	Received fleet.LogPosition
 }
--- a/internal/load/session.go
+++ b/internal/load/session.go
@@ -51,7 +51,7 @@
 	mode    pgx.QueryExecMode
 
 	conns map[use]*link
-	token fleet.Point
+	token fleet.LogPosition
 	pause time.Duration
 	// key is the session's own key, number what was acknowledged under it.
 	key      string
@@ -188,10 +188,10 @@
 }
 
 // shown returns the token that the host showed last on l.
-func (l *link) shown() fleet.Point {
-	p, err := fleet.ParsePoint(l.PgConn().ParameterStatus(tokenParameter))
+func (l *link) shown() fleet.LogPosition {
+	p, err := fleet.ParseLogPosition(l.PgConn().ParameterStatus(tokenParameter))
 	if err != nil {
-		return fleet.Point{}
+		return fleet.LogPosition{}
 	}
 	return p
 }
--- a/io/caller/bench_test.go
+++ b/io/caller/bench_test.go
@@ -108,7 +108,7 @@
 		a := c.Exchange(ctx, q, r.Send)
 		cancel()
 		p.Put(c)
-		res := exchange.Result{Outcome: exchange.OutcomeDone, Status: a.Status, Point: a.Point, Role: a.Role}
+		res := exchange.Result{Outcome: exchange.OutcomeDone, Status: a.Status, Position: a.Point, Role: a.Role}
 		if a.Err != nil {
 			res.Outcome = exchange.OutcomeUnknown
 		}
@@ -256,7 +256,7 @@
 		cfg.Runner.Run = func(q *exchange.Request, r exchange.Reply) {
 			out, _ := answerTo(q)
 			_ = r.Send(out)
-			r.Done(exchange.Result{Outcome: exchange.OutcomeDone, Point: fleet.Point{Term: 1, Position: 1}})
+			r.Done(exchange.Result{Outcome: exchange.OutcomeDone, Position: fleet.LogPosition{Term: 1, Index: 1}})
 		}
 	})
 	for b.Loop() {
--- a/io/caller/caller_test.go
+++ b/io/caller/caller_test.go
@@ -73,7 +73,7 @@
 	released []exchange.Pin
 	canceled []exchange.ID
 	next     exchange.Pin
-	point    fleet.Point
+	point    fleet.LogPosition
 	// answer takes the place of the usual answer when it returns true.
 	answer func(q *exchange.Request, r exchange.Reply) bool
 }
@@ -114,8 +114,8 @@
 		return
 	}
 	f.mu.Lock()
-	f.point.Position++
-	res := exchange.Result{Outcome: exchange.OutcomeDone, Status: exchange.TxIdle, Point: f.point, Pin: q.Pin}
+	f.point.Index++
+	res := exchange.Result{Outcome: exchange.OutcomeDone, Status: exchange.TxIdle, Position: f.point, Pin: q.Pin}
 	switch verb {
 	case "begin":
 		f.next++
@@ -192,7 +192,7 @@
 }
 
 func start(t testing.TB, change func(*caller.Config)) *front {
-	f := &front{docs: newDocuments(), fake: &fake{point: fleet.Point{Term: 3, Position: 7}}}
+	f := &front{docs: newDocuments(), fake: &fake{point: fleet.LogPosition{Term: 3, Index: 7}}}
 	cfg := caller.Config{
 		Address: "127.0.0.1:0", Host: "h1", Epoch: 1, EventLoops: 2,
 		Runner: f.fake.runner(), Documents: f.docs.get,
--- a/io/caller/finish.go
+++ b/io/caller/finish.go
@@ -8,7 +8,7 @@
 // finish writes the end of an answer and goes on with what the caller has sent
 // ahead.
 func (x *session) finish(r *run, out []byte, res *exchange.Result) {
-	x.see(res.Point)
+	x.see(res.Position)
 	if res.Instance != "" {
 		x.served = server{instance: res.Instance, role: res.Role}
 	}
--- a/io/caller/helpers_test.go
+++ b/io/caller/helpers_test.go
@@ -196,7 +196,7 @@
 		<-finish
 		b, _ := answerTo(q)
 		_ = r.Send(b)
-		r.Done(exchange.Result{Outcome: exchange.OutcomeDone, Point: fleet.Point{Term: 9, Position: 9}})
+		r.Done(exchange.Result{Outcome: exchange.OutcomeDone, Position: fleet.LogPosition{Term: 9, Index: 9}})
 		return true
 	}
 }
--- a/io/caller/session.go
+++ b/io/caller/session.go
@@ -48,7 +48,7 @@
 
 	settings settings
 	// token is the greatest point seen, told the one that the caller knows.
-	token, told fleet.Point
+	token, told fleet.LogPosition
 	// served is what gave the last answer, servedTold what the caller knows.
 	served, servedTold server
 
--- a/io/caller/settings.go
+++ b/io/caller/settings.go
@@ -144,7 +144,7 @@
 	case settingMaxAge, settingTimeout:
 		return "0"
 	case settingToken:
-		return fleet.Point{}.String()
+		return fleet.LogPosition{}.String()
 	default:
 		return parameters[name].value
 	}
@@ -162,7 +162,7 @@
 	if value == "" {
 		return nil
 	}
-	p, err := fleet.ParsePoint(value)
+	p, err := fleet.ParseLogPosition(value)
 	if err != nil {
 		return invalid(settingToken, value, "term.position")
 	}
--- a/io/caller/wire.go
+++ b/io/caller/wire.go
@@ -140,7 +140,7 @@
 }
 
 // see raises the session's token to p.
-func (x *session) see(p fleet.Point) {
+func (x *session) see(p fleet.LogPosition) {
 	if p.Compare(x.token) > 0 {
 		x.token = p
 	}
--- a/io/control/dial.go
+++ b/io/control/dial.go
@@ -203,7 +203,7 @@
 	if err != nil {
 		return fleet.Status{}, fmt.Errorf("promised term: %w", err)
 	}
-	last, err := fleet.ParsePoint(string(row[columnLastTerm]) + "." + string(row[columnLastPosition]))
+	last, err := fleet.ParseLogPosition(string(row[columnLastTerm]) + "." + string(row[columnLastPosition]))
 	if err != nil {
 		return fleet.Status{}, err
 	}
--- a/io/database/conn.go
+++ b/io/database/conn.go
@@ -39,7 +39,7 @@
 	status   exchange.TxStatus
 	// readOnly is the mode in which the instance runs what comes next.
 	readOnly bool
-	point    fleet.Point
+	point    fleet.LogPosition
 	role     fleet.Role
 	// told is the text that point and role were read from.
 	told string
@@ -149,7 +149,7 @@
 	if !ok {
 		return
 	}
-	if at, err := fleet.ParsePoint(p); err == nil {
+	if at, err := fleet.ParseLogPosition(p); err == nil {
 		c.point, c.role = at, fleet.Role(role)
 	}
 }
--- a/io/database/database_test.go
+++ b/io/database/database_test.go
@@ -102,7 +102,7 @@
 	got, a := exchangeOn(conn, simple("put a 1"))
 	c.Assert(a.Err, qt.IsNil)
 	c.Assert(got, qt.Equals, "T D(put a 1) C")
-	c.Assert(a.Point, qt.Equals, fleet.Point{Term: 2, Position: 1})
+	c.Assert(a.Point, qt.Equals, fleet.LogPosition{Term: 2, Index: 1})
 	c.Assert(a.Role, qt.Equals, fleet.RolePrimary)
 	c.Assert(a.Status, qt.Equals, exchange.TxIdle)
 	c.Assert(a.Sent, qt.IsTrue)
--- a/io/database/exchange.go
+++ b/io/database/exchange.go
@@ -16,7 +16,7 @@
 	// Status is the transaction's state.
 	Status exchange.TxStatus
 	// Point and Role are what the instance told last.
-	Point fleet.Point
+	Point fleet.LogPosition
 	Role  fleet.Role
 	// Sent is set when the instance may have seen any of the exchange. While it
 	// is unset, nothing has run or will run.
--- a/io/forward/forward.go
+++ b/io/forward/forward.go
@@ -134,7 +134,7 @@
 func AppendReply(b []byte, stream uint64, a statement.Answer) []byte {
 	m := &forwardpb.Reply{
 		Stream: stream, Rows: a.Rows, Digest: a.Digest, Code: string(a.Code), Detail: a.Detail,
-		RetryAfterMs: uint32(a.RetryAfter.Milliseconds()), State: string(a.State), Point: toPoint(a.Point),
+		RetryAfterMs: uint32(a.RetryAfter.Milliseconds()), State: string(a.State), Point: toPoint(a.Position),
 	}
 	return appendFrame(b, &forwardpb.Frame{Kind: &forwardpb.Frame_Reply{Reply: m}})
 }
@@ -143,23 +143,23 @@
 	return statement.Answer{
 		Rows: m.GetRows(), Digest: m.GetDigest(), Code: statement.Code(m.GetCode()), Detail: m.GetDetail(),
 		RetryAfter: time.Duration(m.GetRetryAfterMs()) * time.Millisecond,
-		State:      statement.TxState(m.GetState()), Point: fromPoint(m.GetPoint()),
+		State:      statement.TxState(m.GetState()), Position: fromPoint(m.GetPoint()),
 	}
 }
 
-func toPoint(o fleet.Option[fleet.Point]) *forwardpb.Point {
+func toPoint(o fleet.Option[fleet.LogPosition]) *forwardpb.Point {
 	p, ok := o.Get()
 	if !ok {
 		return nil
 	}
-	return &forwardpb.Point{Term: uint64(p.Term), Position: uint64(p.Position)}
+	return &forwardpb.Point{Term: uint64(p.Term), Position: uint64(p.Index)}
 }
 
-func fromPoint(m *forwardpb.Point) fleet.Option[fleet.Point] {
+func fromPoint(m *forwardpb.Point) fleet.Option[fleet.LogPosition] {
 	if m == nil {
-		return fleet.Option[fleet.Point]{}
+		return fleet.Option[fleet.LogPosition]{}
 	}
-	return fleet.Some(fleet.Point{Term: fleet.Term(m.GetTerm()), Position: fleet.Position(m.GetPosition())})
+	return fleet.Some(fleet.LogPosition{Term: fleet.Term(m.GetTerm()), Index: fleet.LogIndex(m.GetPosition())})
 }
 
 // AppendPing writes a question for a sign of life, or its answer.
--- a/io/forward/forward_test.go
+++ b/io/forward/forward_test.go
@@ -43,7 +43,7 @@
 			{Kind: statement.KindPrepare, Name: "p", Shape: statement.Shape{Writes: true, Text: "q2c"}},
 			{
 				ID: "b", Kind: statement.KindExecute, Name: "p", Text: "1a4 data",
-				After: fleet.Some(fleet.Point{Term: 3, Position: 9}),
+				After: fleet.Some(fleet.LogPosition{Term: 3, Index: 9}),
 			},
 			{Kind: statement.KindStepDown, Term: 4},
 		},
@@ -54,7 +54,7 @@
 	c := qt.New(t)
 	a := statement.Answer{
 		Rows: []string{"one", ""}, Digest: "d", Code: statement.CodeBusy, Detail: "why", RetryAfter: 300 * time.Millisecond,
-		State: statement.TxOpen, Point: fleet.Some(fleet.Point{Term: 1}),
+		State: statement.TxOpen, Position: fleet.Some(fleet.LogPosition{Term: 1}),
 	}
 	b := forward.AppendHello(nil, "h1")
 	b = forward.AppendRequest(b, request())
@@ -80,8 +80,8 @@
 		if len(g.hosts) != 1 || len(g.requests) != 1 || len(g.answers) != 1 {
 			t.Fatalf("%+v", g)
 		}
-		c.Assert(g.requests[0], qt.CmpEquals(cmp.AllowUnexported(fleet.Option[fleet.Point]{})), request())
-		c.Assert(g.answers[0], qt.CmpEquals(cmp.AllowUnexported(fleet.Option[fleet.Point]{})), a)
+		c.Assert(g.requests[0], qt.CmpEquals(cmp.AllowUnexported(fleet.Option[fleet.LogPosition]{})), request())
+		c.Assert(g.answers[0], qt.CmpEquals(cmp.AllowUnexported(fleet.Option[fleet.LogPosition]{})), a)
 		c.Assert(g.streams[0], qt.Equals, uint64(7))
 	})
 }
--- a/io/holder/serve.go
+++ b/io/holder/serve.go
@@ -98,7 +98,7 @@
 	r := exchange.Result{
 		Outcome:  exchange.OutcomeDone,
 		Status:   a.Status,
-		Point:    a.Point,
+		Position: a.Point,
 		Instance: w.choice.Instance,
 		Role:     a.Role,
 	}
@@ -197,7 +197,7 @@
 		return nil
 	}
 	if a.Role == fleet.RoleReplica || w.read() {
-		at := session.Answer{Point: a.Point, Role: a.Role}
+		at := session.Answer{Position: a.Point, Role: a.Role}
 		if w.need.Satisfied(at, g.h.c.Now(), g.steward.Table()) {
 			return nil
 		}
@@ -222,7 +222,7 @@
 	errUnproven = errors.New("the primary may have been replaced")
 )
 
-func (g *groupRun) confirm(p fleet.Point, r document.Acknowledge, deadline time.Time) error {
+func (g *groupRun) confirm(p fleet.LogPosition, r document.Acknowledge, deadline time.Time) error {
 	c := make(chan error, 1)
 	g.steward.Confirm(p, r, deadline, func(err error) { c <- err })
 	return <-c
@@ -236,7 +236,7 @@
 	}
 	// The term is that of the start: a later one would vouch for the rows of a
 	// primary that has been replaced while they came.
-	if err := g.confirm(fleet.Point{Term: w.term}, document.AcknowledgePrimary, w.q.Deadline); err != nil {
+	if err := g.confirm(fleet.LogPosition{Term: w.term}, document.AcknowledgePrimary, w.q.Deadline); err != nil {
 		return errUnproven
 	}
 	return nil
--- a/io/host/convert.go
+++ b/io/host/convert.go
@@ -9,15 +9,15 @@
 	"skylarkdeal/io/host/hostpb"
 )
 
-func toPoint(p *hostpb.Point) fleet.Point {
-	return fleet.Point{Term: fleet.Term(p.GetTerm()), Position: fleet.Position(p.GetPosition())}
+func toPoint(p *hostpb.Point) fleet.LogPosition {
+	return fleet.LogPosition{Term: fleet.Term(p.GetTerm()), Index: fleet.LogIndex(p.GetPosition())}
 }
 
-func fromPoint(p fleet.Point) *hostpb.Point {
+func fromPoint(p fleet.LogPosition) *hostpb.Point {
 	if p.IsZero() {
 		return nil
 	}
-	return &hostpb.Point{Term: uint64(p.Term), Position: uint64(p.Position)}
+	return &hostpb.Point{Term: uint64(p.Term), Position: uint64(p.Index)}
 }
 
 // fromRequest states the deadline as what is left of it at now, so that the two
@@ -33,7 +33,7 @@
 		x.TimeoutUs = uint64(max(1, q.Deadline.Sub(now).Microseconds()))
 	}
 	if p, ok := q.After.Get(); ok {
-		x.After = &hostpb.Point{Term: uint64(p.Term), Position: uint64(p.Position)}
+		x.After = &hostpb.Point{Term: uint64(p.Term), Position: uint64(p.Index)}
 	}
 	for _, s := range q.Statements {
 		x.Statements = append(x.Statements, &hostpb.Statement{Name: s.Name, Sql: s.SQL, Types: s.Types})
@@ -67,7 +67,7 @@
 
 func fromResult(r exchange.Result, seq uint64) *hostpb.Done {
 	d := &hostpb.Done{
-		Seq: seq, Outcome: string(r.Outcome), Status: uint32(r.Status), Point: fromPoint(r.Point),
+		Seq: seq, Outcome: string(r.Outcome), Status: uint32(r.Status), Point: fromPoint(r.Position),
 		Instance: string(r.Instance), Role: string(r.Role), Pin: uint64(r.Pin),
 	}
 	if f := r.Refusal; f != nil {
@@ -84,7 +84,7 @@
 func toResult(d *hostpb.Done, holder fleet.Host) exchange.Result {
 	r := exchange.Result{
 		Outcome: exchange.Outcome(d.GetOutcome()), Status: exchange.TxStatus(d.GetStatus()),
-		Point: toPoint(d.GetPoint()), Instance: fleet.Instance(d.GetInstance()),
+		Position: toPoint(d.GetPoint()), Instance: fleet.Instance(d.GetInstance()),
 		Role: fleet.Role(d.GetRole()), Pin: exchange.Pin(d.GetPin()),
 	}
 	switch r.Outcome {
--- a/io/host/host_test.go
+++ b/io/host/host_test.go
@@ -102,7 +102,7 @@
 		p := dial(t, h, &host.Peers{Self: host.Self{Version: v}, Secret: "s"})
 		q := &exchange.Request{
 			ID: id(1), Service: "orders", Account: "hotel", Session: 9, Intent: exchange.IntentRead,
-			After: fleet.Some(fleet.Point{Term: 2, Position: 5}), MaxAge: 5 * time.Second,
+			After: fleet.Some(fleet.LogPosition{Term: 2, Index: 5}), MaxAge: 5 * time.Second,
 			Statements: []exchange.Statement{{Name: "s1", SQL: "get $1", Types: []uint32{25}}},
 			Payload:    []byte("payload"),
 		}
@@ -120,7 +120,7 @@
 			c.Assert(got.reply.Send(b), qt.IsNil)
 		}
 		result := exchange.Result{Outcome: exchange.OutcomeDone, Status: exchange.TxOpen,
-			Point: fleet.Point{Term: 2, Position: 6}, Instance: "b", Role: fleet.RoleReplica,
+			Position: fleet.LogPosition{Term: 2, Index: 6}, Instance: "b", Role: fleet.RoleReplica,
 			Pin: 3, Holder: "holder"}
 		got.reply.Done(result)
 		c.Check(await(c, "result", a.result), qt.DeepEquals, result)
--- a/io/steward/bench_test.go
+++ b/io/steward/bench_test.go
@@ -53,7 +53,7 @@
 	f := newFleet(b, time.Millisecond)
 	w := &writer{
 		fleet: f, host: f.hosts[1+n%2].Host, rule: document.AcknowledgeReplicated,
-		acked: make(map[fleet.Point]string),
+		acked: make(map[fleet.LogPosition]string),
 	}
 	defer w.close()
 	w.first(b)
@@ -110,7 +110,7 @@
 func writeMany(b *testing.B, rule document.Acknowledge, lag time.Duration) {
 	f := newFleet(b, lag)
 	defer f.close()
-	w := &writer{fleet: f, host: "h1", rule: rule, acked: make(map[fleet.Point]string)}
+	w := &writer{fleet: f, host: "h1", rule: rule, acked: make(map[fleet.LogPosition]string)}
 	defer w.close()
 	eventually(b, func() bool {
 		_, ok := w.write("first", 10*time.Second)
@@ -158,7 +158,7 @@
 	b.Helper()
 	f := newFleet(b, time.Millisecond)
 	defer f.close()
-	w := &writer{fleet: f, host: "h0", rule: document.AcknowledgeReplicated, acked: make(map[fleet.Point]string)}
+	w := &writer{fleet: f, host: "h0", rule: document.AcknowledgeReplicated, acked: make(map[fleet.LogPosition]string)}
 	defer w.close()
 	w.first(b)
 	strike(f)
--- a/io/steward/cluster_test.go
+++ b/io/steward/cluster_test.go
@@ -282,7 +282,7 @@
 
 // keeps checks that the primary of the highest term has all that was
 // acknowledged.
-func (c *cluster) keeps(tb testing.TB, acked map[fleet.Point]string) {
+func (c *cluster) keeps(tb testing.TB, acked map[fleet.LogPosition]string) {
 	tb.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -293,7 +293,7 @@
 		}
 	}
 	for p, v := range acked {
-		if int(p.Position) > len(top.Log) || top.Log[p.Position-1].Value != v {
+		if int(p.Index) > len(top.Log) || top.Log[p.Index-1].Value != v {
 			tb.Fatalf("acknowledged write %v = %s is lost", p, v)
 		}
 	}
@@ -304,16 +304,16 @@
 // write has a value written through one host and waits for its acknowledgement.
 func (c *cluster) write(
 	h fleet.Host, rule document.Acknowledge, value string, limit time.Duration,
-) (fleet.Point, error) {
+) (fleet.LogPosition, error) {
 	s := c.stewards[h]
 	t := s.Table()
 	p, ok := t.Find(t.Primary)
 	if !ok || p.Silent(time.Now()) > 150*time.Millisecond {
-		return fleet.Point{}, errNoPrimary
+		return fleet.LogPosition{}, errNoPrimary
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, limit)
 	defer cancel()
-	var at fleet.Point
+	var at fleet.LogPosition
 	_, err := c.call(ctx, h, t.Primary, func(i *grouptest.Instance) error {
 		var err error
 		at, err = i.Append(value)
--- a/io/steward/ledger_test.go
+++ b/io/steward/ledger_test.go
@@ -149,7 +149,7 @@
 	rule  document.Acknowledge
 	to    fleet.Instance
 	conn  *pgconn.PgConn
-	acked map[fleet.Point]string
+	acked map[fleet.LogPosition]string
 	// lost is how many writes have had an unknown outcome.
 	unknown int
 }
@@ -184,23 +184,23 @@
 }
 
 // write has one value written and acknowledged within limit.
-func (w *writer) write(value string, limit time.Duration) (fleet.Point, bool) {
+func (w *writer) write(value string, limit time.Duration) (fleet.LogPosition, bool) {
 	ctx, cancel := context.WithTimeout(w.fleet.ctx, limit)
 	defer cancel()
 	conn := w.connect(ctx)
 	if conn == nil {
 		_ = sleep(ctx, time.Millisecond)
-		return fleet.Point{}, false
+		return fleet.LogPosition{}, false
 	}
 	_ = sleep(ctx, 2*linkTime)
 	if _, err := conn.Exec(ctx, "put k"+value+" "+value).ReadAll(); err != nil {
 		w.close()
-		return fleet.Point{}, false
+		return fleet.LogPosition{}, false
 	}
 	text, _, _ := strings.Cut(conn.ParameterStatus(ledger.PointParameter), "/")
-	at, err := fleet.ParsePoint(text)
+	at, err := fleet.ParseLogPosition(text)
 	if err != nil {
-		return fleet.Point{}, false
+		return fleet.LogPosition{}, false
 	}
 	out := make(chan error, 1)
 	w.fleet.stewards[w.host].Confirm(at, w.rule, time.Now().Add(limit), func(err error) { out <- err })
--- a/io/steward/proto.go
+++ b/io/steward/proto.go
@@ -16,7 +16,7 @@
 			Reachable: v.Reachable,
 			SilentUs:  uint64(v.Silent / time.Microsecond),
 			Term:      uint64(v.Term),
-			Last:      &hostpb.Point{Term: uint64(v.Last.Term), Position: uint64(v.Last.Position)},
+			Last:      &hostpb.Point{Term: uint64(v.Last.Term), Position: uint64(v.Last.Index)},
 			Role:      string(v.Role),
 		})
 	}
@@ -31,9 +31,9 @@
 			Reachable: i.GetReachable(),
 			Silent:    time.Duration(i.GetSilentUs()) * time.Microsecond,
 			Term:      fleet.Term(i.GetTerm()),
-			Last: fleet.Point{
-				Term:     fleet.Term(i.GetLast().GetTerm()),
-				Position: fleet.Position(i.GetLast().GetPosition()),
+			Last: fleet.LogPosition{
+				Term:  fleet.Term(i.GetLast().GetTerm()),
+				Index: fleet.LogIndex(i.GetLast().GetPosition()),
 			},
 			Role: fleet.Role(i.GetRole()),
 		})
--- a/io/steward/steward_test.go
+++ b/io/steward/steward_test.go
@@ -19,9 +19,9 @@
 
 // writeUntil writes through h until f accepts an acknowledged point, and
 // returns all that was acknowledged.
-func (c *cluster) writeUntil(tb testing.TB, h fleet.Host, f func(p fleet.Point) bool) map[fleet.Point]string {
+func (c *cluster) writeUntil(tb testing.TB, h fleet.Host, f func(p fleet.LogPosition) bool) map[fleet.LogPosition]string {
 	tb.Helper()
-	acked := make(map[fleet.Point]string)
+	acked := make(map[fleet.LogPosition]string)
 	n := 0
 	eventually(tb, func() bool {
 		n++
@@ -48,9 +48,9 @@
 	return who && why
 }
 
-func anyPoint(fleet.Point) bool { return true }
+func anyPoint(fleet.LogPosition) bool { return true }
 
-func laterTerm(p fleet.Point) bool { return p.Term > 1 }
+func laterTerm(p fleet.LogPosition) bool { return p.Term > 1 }
 
 // The primary dies while an order client writes. Nobody orders a promotion; the
 // next order is confirmed by a new primary that has all the earlier ones. When
@@ -148,7 +148,7 @@
 	c := newCluster(t, time.Millisecond)
 	c.ready(t)
 	p := c.stewards["h0"].Table()
-	at := fleet.Point{Term: p.Term, Position: 1}
+	at := fleet.LogPosition{Term: p.Term, Index: 1}
 	out := make(chan error, 100)
 	before := c.asked("h0")
 	for range 100 {
@@ -170,7 +170,7 @@
 	for p := range c.writeUntil(t, "h0", anyPoint) {
 		proof, err := c.fresh("h2", 10*time.Second)
 		q.Assert(err, qt.IsNil)
-		q.Assert(proof.Point.Covers(p), qt.IsTrue)
+		q.Assert(proof.Position.Covers(p), qt.IsTrue)
 	}
 	c.set(func() { c.faults["b"], c.faults["c"] = hung, hung })
 	_, err := c.fresh("h2", 200*time.Millisecond)
@@ -197,7 +197,7 @@
 	c := newCluster(t, time.Millisecond)
 	c.ready(t)
 	out := make(chan error, 1)
-	far := fleet.Point{Term: 1, Position: 1000}
+	far := fleet.LogPosition{Term: 1, Index: 1000}
 	c.stewards["h0"].Confirm(far, document.AcknowledgeReplicated, time.Now().Add(time.Hour),
 		func(err error) { out <- err })
 	c.stop()
@@ -217,7 +217,7 @@
 	// Nothing is proved until the pause has been prepared.
 	c.set(func() { c.faults["b"], c.faults["c"] = hung, hung })
 	h := c.stewards["h0"]
-	var at fleet.Point
+	var at fleet.LogPosition
 	_, err := c.call(c.ctx, "h0", "a", func(i *grouptest.Instance) error {
 		var err error
 		at, err = i.Append("slept through")
@@ -251,7 +251,7 @@
 	eventually(t, func() bool { return c.asked("h0")-from > 40 })
 	q.Assert(c.stewards["h0"].Table().Term, qt.Equals, fleet.Term(1))
 	c.set(func() { c.faults["a"] = healthy })
-	c.writeUntil(t, "h0", func(p fleet.Point) bool { return p.Term == 1 })
+	c.writeUntil(t, "h0", func(p fleet.LogPosition) bool { return p.Term == 1 })
 }
 
 // Hosts come and go, and others become holders. One that isn't a holder any more
--- a/io/steward/wait.go
+++ b/io/steward/wait.go
@@ -19,7 +19,7 @@
 
 	// confirm is set for a committed write.
 	confirm func(error)
-	point   fleet.Point
+	point   fleet.LogPosition
 	rule    document.Acknowledge
 
 	// fresh is set for a read.
@@ -32,7 +32,7 @@
 // each instance serves all the writes that wait. It has to be called after the
 // commit's answer came in. done runs on the Steward's own goroutine and must
 // not block.
-func (s *Steward) Confirm(point fleet.Point, rule document.Acknowledge, deadline time.Time, done func(error)) {
+func (s *Steward) Confirm(point fleet.LogPosition, rule document.Acknowledge, deadline time.Time, done func(error)) {
 	now := s.cfg.Now()
 	s.enqueue(&waiter{
 		since: now, demand: now, deadline: deadline, confirm: done, point: point, rule: rule,
--- a/standin/ledger/conn.go
+++ b/standin/ledger/conn.go
@@ -257,6 +257,6 @@
 // role of the instance, as "term.position/role".
 const PointParameter = "skylark_point"
 
-func pointText(p fleet.Point, r fleet.Role) string {
+func pointText(p fleet.LogPosition, r fleet.Role) string {
 	return p.String() + "/" + string(r)
 }
--- a/standin/ledger/control.go
+++ b/standin/ledger/control.go
@@ -19,7 +19,7 @@
 	c.session.point = s.Last
 	return one("SKYLARK", columnsOf(statement{verb: verbSkylark}),
 		string(s.Instance), strconv.FormatUint(uint64(s.Promised), 10), string(s.Role),
-		strconv.FormatUint(uint64(s.Last.Term), 10), strconv.FormatUint(uint64(s.Last.Position), 10),
+		strconv.FormatUint(uint64(s.Last.Term), 10), strconv.FormatUint(uint64(s.Last.Index), 10),
 		string(s.Follows)), nil
 }
 
--- a/standin/ledger/fault_test.go
+++ b/standin/ledger/fault_test.go
@@ -80,14 +80,14 @@
 func TestLagDelaysReplicas(t *testing.T) {
 	c := qt.New(t)
 	g := start(c, ledger.Config{})
-	until(c, "b has the first entry", func() bool { return g.Status("b").Last.Position == 1 })
+	until(c, "b has the first entry", func() bool { return g.Status("b").Last.Index == 1 })
 	c.Assert(g.Set("b", ledger.Fault{Kind: ledger.FaultLag, Delay: time.Hour}), qt.IsNil)
 	_, err := connect(c, g, "a", "h1").Exec(timeout(c), "put k v")
 	c.Assert(err, qt.IsNil)
-	until(c, "c has the entry", func() bool { return g.Status("c").Last.Position == 2 })
-	c.Check(g.Status("b").Last.Position, qt.Equals, fleet.Position(1))
+	until(c, "c has the entry", func() bool { return g.Status("c").Last.Index == 2 })
+	c.Check(g.Status("b").Last.Index, qt.Equals, fleet.LogIndex(1))
 	c.Assert(g.Clear("b", ledger.FaultLag), qt.IsNil)
-	until(c, "b has the entry", func() bool { return g.Status("b").Last.Position == 2 })
+	until(c, "b has the entry", func() bool { return g.Status("b").Last.Index == 2 })
 }
 
 func TestSwitchesAndRecordOverHTTP(t *testing.T) {
--- a/standin/ledger/instance.go
+++ b/standin/ledger/instance.go
@@ -121,15 +121,15 @@
 	return nil
 }
 
-func (i *instance) appendLocked(ops ...Op) fleet.Point {
-	p := fleet.Point{Term: i.term, Position: i.history.last().Position + 1}
+func (i *instance) appendLocked(ops ...Op) fleet.LogPosition {
+	p := fleet.LogPosition{Term: i.term, Index: i.history.last().Index + 1}
 	i.history.append(Entry{Point: p, At: i.group.now(), Ops: ops})
 	i.group.wakeLocked()
 	return p
 }
 
 // commit applies ops as one entry, and returns its point.
-func (i *instance) commit(ops []Op) (fleet.Point, error) {
+func (i *instance) commit(ops []Op) (fleet.LogPosition, error) {
 	i.group.mu.Lock()
 	defer i.group.mu.Unlock()
 	if err := i.writableLocked(); err != nil {
--- a/standin/ledger/ledger_test.go
+++ b/standin/ledger/ledger_test.go
@@ -132,10 +132,10 @@
 	conn := connect(c, g, "a", "h1")
 	_, err := conn.Exec(ctx, "put stock 5")
 	c.Assert(err, qt.IsNil)
-	covered := func(n fleet.Instance, p fleet.Point) func() bool {
+	covered := func(n fleet.Instance, p fleet.LogPosition) func() bool {
 		return func() bool { return g.Status(n).Last == p }
 	}
-	until(c, "b has the entry", covered("b", fleet.Point{Term: 1, Position: 2}))
+	until(c, "b has the entry", covered("b", fleet.LogPosition{Term: 1, Index: 2}))
 	c.Assert(g.Set("a", ledger.Fault{Kind: ledger.FaultCut, From: []string{"b", "c"}}), qt.IsNil)
 	_, err = conn.Exec(ctx, "put stock 6")
 	c.Assert(err, qt.IsNil)
@@ -151,7 +151,7 @@
 	s, err := b.Promote(ctx, 2, "h1")
 	c.Assert(err, qt.IsNil)
 	c.Check(s, qt.Equals, fleet.Status{Instance: "b", Promised: 2, Role: fleet.RolePrimary,
-		Last: fleet.Point{Term: 2, Position: 3}})
+		Last: fleet.LogPosition{Term: 2, Index: 3}})
 	_, err = k.Follow(ctx, 2, "b", g.Address("b"))
 	c.Assert(err, qt.IsNil)
 	until(c, "c follows", covered("c", s.Last))
@@ -179,7 +179,7 @@
 	g := start(c, ledger.Config{})
 	ctx := timeout(c)
 	until(c, "all have the first entry", func() bool {
-		return g.Status("b").Last.Position == 1 && g.Status("c").Last.Position == 1
+		return g.Status("b").Last.Index == 1 && g.Status("c").Last.Index == 1
 	})
 	open, conn := connect(c, g, "a", "h1"), connect(c, g, "a", "h1")
 	_, err := open.Exec(ctx, "BEGIN; put k 1")
@@ -188,8 +188,8 @@
 	c.Assert(err, qt.IsNil)
 	_, err = conn.Exec(ctx, "put other 1")
 	c.Assert(err, qt.IsNil)
-	until(c, "b has the order", func() bool { return g.Status("b").Last.Position == 2 })
-	c.Check(g.Status("c").Last.Position, qt.Equals, fleet.Position(1))
+	until(c, "b has the order", func() bool { return g.Status("b").Last.Index == 2 })
+	c.Check(g.Status("c").Last.Index, qt.Equals, fleet.LogIndex(1))
 	_, err = dial(c, g, "a").Fence(ctx, 2, "h1")
 	c.Assert(err, qt.IsNil)
 	_, err = open.Exec(ctx, "COMMIT")
--- a/standin/ledger/log.go
+++ b/standin/ledger/log.go
@@ -31,9 +31,9 @@
 // Entry is one committed transaction. Its position is its place in the log,
 // counted from 1.
 type Entry struct {
-	Point fleet.Point `json:"point"`
-	At    time.Time   `json:"at"`
-	Ops   []Op        `json:"ops"`
+	Point fleet.LogPosition `json:"point"`
+	At    time.Time         `json:"at"`
+	Ops   []Op              `json:"ops"`
 }
 
 // history is an instance's log and the values that it adds up to.
@@ -42,9 +42,9 @@
 	values  map[string]string
 }
 
-func (h *history) last() fleet.Point {
+func (h *history) last() fleet.LogPosition {
 	if len(h.entries) == 0 {
-		return fleet.Point{}
+		return fleet.LogPosition{}
 	}
 	return h.entries[len(h.entries)-1].Point
 }
--- a/standin/ledger/session.go
+++ b/standin/ledger/session.go
@@ -20,7 +20,7 @@
 	portals  map[string]portal
 	tx       tx
 	// point is what the answer in progress reflects.
-	point fleet.Point
+	point fleet.LogPosition
 	// begun is set from the first message of a series up to its Sync, whichever
 	// message that is: also a lone Describe tells where the log stands.
 	begun bool
