--- a/core/follow/follow_test.go
+++ b/core/follow/follow_test.go
@@ -103,7 +103,7 @@
 			if at, ok := c.NotBefore(sent.Add(offset)); ok {
 				l.Renewed(at)
 			}
-			if at := later(arrived, effect); l.Certain(at) {
+			if at := later(arrived, effect); l.RecordsCurrent(at) {
 				t.Fatalf("certain %v after the order took effect", at.Sub(effect))
 			}
 		}
--- a/core/leader/belief.go
+++ b/core/leader/belief.go
@@ -27,13 +27,13 @@
 	Revision uint64 `json:"-"`
 }
 
-// Belief is what one host holds of a group's primary. The zero Belief knows none.
+// PrimaryState is what one host holds of a group's primary. The zero PrimaryState knows none.
 //
 // The last record names the primary; before the first one the instances' own word
 // does. Either is only a name until that instance has said itself, when asked, that
 // it is the primary, in a term that is not below the record's: an order may not have
 // taken effect yet, or never will.
-type Belief struct {
+type PrimaryState struct {
 	record  Record
 	primary fleet.Instance
 	term    fleet.Term
@@ -45,9 +45,9 @@
 	formerTerm fleet.Term
 }
 
-// Listed takes in how the instances of the group announce themselves. Without a record
+// SetInstances takes in how the instances of the group announce themselves. Without a record
 // it is all there is to go by; the current primary is kept while it claims to be one.
-func (b *Belief) Listed(is []catalog.Instance) {
+func (b *PrimaryState) SetInstances(is []catalog.Instance) {
 	if b.record.Revision != 0 {
 		return
 	}
@@ -64,12 +64,12 @@
 	b.follow(claims[0])
 }
 
-func (b *Belief) follow(i fleet.Instance) {
+func (b *PrimaryState) follow(i fleet.Instance) {
 	b.primary, b.settled = i, false
 }
 
-// Recorded takes in a record and reports whether it is news.
-func (b *Belief) Recorded(r Record) bool {
+// AddRecord takes in a record and reports whether it is news.
+func (b *PrimaryState) AddRecord(r Record) bool {
 	if r.Revision <= b.record.Revision {
 		return false
 	}
@@ -88,9 +88,9 @@
 	return true
 }
 
-// Answered takes in what an instance has said of itself and reports whether it
+// AddStatus takes in what an instance has said of itself and reports whether it
 // settles who the primary is.
-func (b *Belief) Answered(i fleet.Instance, s statement.Status) bool {
+func (b *PrimaryState) AddStatus(i fleet.Instance, s statement.Status) bool {
 	if i == b.former && s.Role != fleet.RolePrimary {
 		b.former = ""
 	}
@@ -106,8 +106,8 @@
 	return news
 }
 
-// Deposed takes in that an instance has refused to work as the primary.
-func (b *Belief) Deposed(i fleet.Instance) {
+// AddRefusal takes in that an instance has refused to work as the primary.
+func (b *PrimaryState) AddRefusal(i fleet.Instance) {
 	switch i {
 	case b.primary:
 		b.settled = false
@@ -116,10 +116,10 @@
 	}
 }
 
-// Seen takes in the term of the last entry in an instance's log. One of a later term than
+// AddLogTerm takes in the term of the last entry in an instance's log. One of a later term than
 // that in which a primary was settled shows that another has led since. An earlier one
 // shows nothing: a promotion writes no entry.
-func (b *Belief) Seen(i fleet.Instance, t fleet.Term) {
+func (b *PrimaryState) AddLogTerm(i fleet.Instance, t fleet.Term) {
 	if i == b.primary && b.settled && t > b.term {
 		b.settled = false
 	}
@@ -129,23 +129,23 @@
 }
 
 // Primary returns the instance that leads and its term, once that is settled.
-func (b *Belief) Primary() (fleet.Instance, fleet.Term, bool) {
+func (b *PrimaryState) Primary() (fleet.Instance, fleet.Term, bool) {
 	return b.primary, b.term, b.settled
 }
 
-// Named returns the instance that leads or is to lead, settled or not.
-func (b *Belief) Named() fleet.Instance { return b.primary }
+// DesignatedPrimary returns the instance that leads or is to lead, settled or not.
+func (b *PrimaryState) DesignatedPrimary() fleet.Instance { return b.primary }
 
-// Former returns the primary that the last order replaces, while it may still lead
+// FormerPrimary returns the primary that the last order replaces, while it may still lead
 // because the order has not taken effect.
-func (b *Belief) Former() (fleet.Instance, fleet.Term, bool) {
+func (b *PrimaryState) FormerPrimary() (fleet.Instance, fleet.Term, bool) {
 	return b.former, b.formerTerm, b.former != "" && !b.settled
 }
 
 // Record returns the last record, whose Revision is zero if there is none.
-func (b *Belief) Record() Record { return b.record }
+func (b *PrimaryState) Record() Record { return b.record }
 
 // LastTerm returns the highest term that is known of.
-func (b *Belief) LastTerm() fleet.Term {
+func (b *PrimaryState) LastTerm() fleet.Term {
 	return max(b.term, b.record.Term, b.formerTerm)
 }
--- a/core/leader/decide.go
+++ b/core/leader/decide.go
@@ -6,31 +6,31 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Member is what the host that gives orders knows of one instance of a group.
-type Member struct {
+// InstanceInfo is what the host that gives orders knows of one instance of a group.
+type InstanceInfo struct {
 	Name fleet.Instance
 	// Leaving is set when the instance is to end soon or to be left alone, Gone when it has ended.
 	Leaving, Gone bool
-	// Cold is set while it is slow after its start, Abroad where it may not serve all databases of
+	// Cold is set while it is slow after its start, OutsideRegion where it may not serve all databases of
 	// the service.
-	Cold, Abroad bool
+	Cold, OutsideRegion bool
 	// Reachable is set when it has answered this host's last question.
 	Reachable bool
 	// Leads is set when it has said lately that it is a primary, in Term.
 	Leads bool
 	Term  fleet.Term
-	// Doubters is how many hosts can't reach it, this one included, and Vouchers how many
+	// UnreachableFrom is how many hosts can't reach it, this one included, and ReachableFrom how many
 	// have heard it although others can't. Doubted is for how long anyone has doubted it.
-	Doubters, Vouchers int
-	Doubted            time.Duration
+	UnreachableFrom, ReachableFrom int
+	UnreachableFor                 time.Duration
 	// Received is the end of its log, as it was last heard.
 	Received fleet.LogPosition
 }
 
-// Situation is what a decision on a group's primary goes by.
-type Situation struct {
-	Now     time.Time
-	Members []Member
+// GroupStatus is what a decision on a group's primary goes by.
+type GroupStatus struct {
+	Now       time.Time
+	Instances []InstanceInfo
 	// Since is when the last order became known or, without one, since when no primary
 	// is settled.
 	Since time.Time
@@ -41,25 +41,25 @@
 
 // The reasons for an order.
 const (
-	ReasonLeaving  Reason = "the primary is leaving"
-	ReasonGone     Reason = "the primary has gone"
-	ReasonLost     Reason = "too few hosts can reach the primary"
-	ReasonHeadless Reason = "no instance leads"
-	// ReasonAffirmed changes the record only: the platform is given no order.
-	ReasonAffirmed Reason = "the instance led already"
+	ReasonLeaving     Reason = "the primary is leaving"
+	ReasonGone        Reason = "the primary has gone"
+	ReasonUnreachable Reason = "too few hosts can reach the primary"
+	ReasonNoPrimary   Reason = "no instance leads"
+	// ReasonAlreadyPrimary changes the record only: the platform is given no order.
+	ReasonAlreadyPrimary Reason = "the instance led already"
 )
 
-// Order is a change of primary that is to be made.
-type Order struct {
+// PromotionRequest is a change of primary that is to be made.
+type PromotionRequest struct {
 	Service fleet.Service
 	Primary fleet.Instance
 	Former  fleet.Instance
 	// Term is the lowest that the order can lead to.
 	Term   fleet.Term
 	Reason Reason
-	// Based is the revision of the record that the decision went by: if it has changed,
+	// BaseRevision is the revision of the record that the decision went by: if it has changed,
 	// another host has decided meanwhile.
-	Based uint64
+	BaseRevision uint64
 }
 
 const (
@@ -85,41 +85,41 @@
 // order is a change that costs callers a tenth of a second and, with replicas behind,
 // the last writes. So at least half of the hosts that know have to agree that it can't be
 // reached, and all get the time to see for themselves: one bad link replaces no primary.
-func (b *Belief) Decide(s Situation) (Order, bool) {
+func (b *PrimaryState) Decide(s GroupStatus) (PromotionRequest, bool) {
 	reason, ok := b.reason(s)
 	if !ok {
-		return Order{}, false
+		return PromotionRequest{}, false
 	}
-	o := Order{Former: b.primary, Reason: reason, Term: b.LastTerm() + 1, Based: b.record.Revision}
+	o := PromotionRequest{Former: b.primary, Reason: reason, Term: b.LastTerm() + 1, BaseRevision: b.record.Revision}
 	if !b.settled && b.former != "" {
 		o.Former = b.former
 	}
 	best, ok := b.candidate(s)
 	if !ok {
-		return Order{}, false
+		return PromotionRequest{}, false
 	}
 	o.Primary = best.Name
-	for _, m := range s.Members {
+	for _, m := range s.Instances {
 		o.Term = max(o.Term, m.Term+1)
 	}
 	return o, true
 }
 
-// Needed reports whether the group needs another primary, whichever.
-func (b *Belief) Needed(s Situation) bool {
+// NeedsPromotion reports whether the group needs another primary, whichever.
+func (b *PrimaryState) NeedsPromotion(s GroupStatus) bool {
 	_, ok := b.reason(s)
 	return ok
 }
 
-func (b *Belief) reason(s Situation) (Reason, bool) {
+func (b *PrimaryState) reason(s GroupStatus) (Reason, bool) {
 	if !b.settled {
 		patience := headlessPatience
 		if b.record.Revision != 0 {
 			patience = orderPatience
 		}
-		return ReasonHeadless, s.Now.Sub(s.Since) > patience
+		return ReasonNoPrimary, s.Now.Sub(s.Since) > patience
 	}
-	for _, m := range s.Members {
+	for _, m := range s.Instances {
 		if m.Name != b.primary {
 			continue
 		}
@@ -129,7 +129,7 @@
 		case m.Leaving:
 			return ReasonLeaving, true
 		case m.lost():
-			return ReasonLost, true
+			return ReasonUnreachable, true
 		}
 		return "", false
 	}
@@ -137,8 +137,8 @@
 }
 
 // lost reports whether half of the hosts that know can't reach the instance.
-func (m Member) lost() bool {
-	return m.Doubters > 0 && m.Doubters >= m.Vouchers && m.Doubted > vouchTime
+func (m InstanceInfo) lost() bool {
+	return m.UnreachableFrom > 0 && m.UnreachableFrom >= m.ReachableFrom && m.UnreachableFor > vouchTime
 }
 
 // candidate returns the instance to be promoted: the one whose log reaches farthest, as
@@ -148,9 +148,9 @@
 // doesn't know it: its log has gone another way, and promoting it would undo what its
 // successor has acknowledged. One that leads where nothing was settled is the last
 // choice: the order for another may be late and still take effect.
-func (b *Belief) candidate(s Situation) (Member, bool) {
-	var best Member
-	for _, m := range s.Members {
+func (b *PrimaryState) candidate(s GroupStatus) (InstanceInfo, bool) {
+	var best InstanceInfo
+	for _, m := range s.Instances {
 		replaced := m.Leads && m.Term < b.term
 		if m.Gone || m.Leaving || !m.Reachable || m.lost() || replaced || b.settled && m.Name == b.primary {
 			continue
@@ -162,26 +162,26 @@
 	return best, best.Name != ""
 }
 
-// Affirmed returns the record by which a group goes on under a primary that an order has
+// ConfirmingRequest returns the record by which a group goes on under a primary that an order has
 // named although it led already: the platform then changes nothing, and the term that
 // the order was to lead to never comes. given is when the order was answered with
 // success, now a moment at which the instance still leads in term t.
-func (b *Belief) Affirmed(i fleet.Instance, t fleet.Term, given, now time.Time) (Order, bool) {
+func (b *PrimaryState) ConfirmingRequest(i fleet.Instance, t fleet.Term, given, now time.Time) (PromotionRequest, bool) {
 	if b.settled || i != b.primary || t >= b.record.Term || given.IsZero() || now.Sub(given) < affirmAfter {
-		return Order{}, false
+		return PromotionRequest{}, false
 	}
-	return Order{Primary: i, Former: i, Term: t, Reason: ReasonAffirmed, Based: b.record.Revision}, true
+	return PromotionRequest{Primary: i, Former: i, Term: t, Reason: ReasonAlreadyPrimary, BaseRevision: b.record.Revision}, true
 }
 
-func (m Member) before(o Member) bool {
+func (m InstanceInfo) before(o InstanceInfo) bool {
 	if m.Leads != o.Leads {
 		return o.Leads
 	}
 	if c := m.Received.Compare(o.Received); c != 0 {
 		return c > 0
 	}
-	if m.Abroad != o.Abroad {
-		return o.Abroad
+	if m.OutsideRegion != o.OutsideRegion {
+		return o.OutsideRegion
 	}
 	if m.Cold != o.Cold {
 		return o.Cold
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -17,30 +17,30 @@
 var start = time.Unix(1000, 0)
 
 // led returns a belief in the primary a of term 1.
-func led() *leader.Belief {
-	var b leader.Belief
-	b.Listed([]catalog.Instance{{Name: "a", Role: fleet.RolePrimary}, {Name: "b"}, {Name: "c"}})
-	b.Answered("a", statement.Status{Role: fleet.RolePrimary, Term: 1})
+func led() *leader.PrimaryState {
+	var b leader.PrimaryState
+	b.SetInstances([]catalog.Instance{{Name: "a", Role: fleet.RolePrimary}, {Name: "b"}, {Name: "c"}})
+	b.AddStatus("a", statement.Status{Role: fleet.RolePrimary, Term: 1})
 	return &b
 }
 
-func members(change func(m map[fleet.Instance]*leader.Member)) []leader.Member {
-	m := map[fleet.Instance]*leader.Member{}
+func members(change func(m map[fleet.Instance]*leader.InstanceInfo)) []leader.InstanceInfo {
+	m := map[fleet.Instance]*leader.InstanceInfo{}
 	for _, n := range []fleet.Instance{"a", "b", "c"} {
-		m[n] = &leader.Member{
+		m[n] = &leader.InstanceInfo{
 			Name: n, Reachable: true, Leads: n == "a", Term: 1, Received: fleet.LogPosition{Term: 1, Index: 5},
 		}
 	}
 	change(m)
-	return []leader.Member{*m["a"], *m["b"], *m["c"]}
+	return []leader.InstanceInfo{*m["a"], *m["b"], *m["c"]}
 }
 
-func ExampleBelief() {
-	var b leader.Belief
-	b.Listed([]catalog.Instance{{Name: "a", Role: fleet.RolePrimary}})
+func ExamplePrimaryState() {
+	var b leader.PrimaryState
+	b.SetInstances([]catalog.Instance{{Name: "a", Role: fleet.RolePrimary}})
 	_, _, settled := b.Primary()
 	fmt.Println(settled)
-	b.Answered("a", statement.Status{Role: fleet.RolePrimary, Term: 3})
+	b.AddStatus("a", statement.Status{Role: fleet.RolePrimary, Term: 3})
 	fmt.Println(b.Primary())
 	// Output:
 	// false
@@ -50,16 +50,16 @@
 func TestRecordNamesThePrimaryBeforeTheList(t *testing.T) {
 	c := qt.New(t)
 	b := led()
-	c.Assert(b.Recorded(leader.Record{Primary: "b", Former: "a", Term: 2, Revision: 7}), qt.IsTrue)
-	b.Listed([]catalog.Instance{{Name: "a", Role: fleet.RolePrimary}})
-	c.Assert(b.Named(), qt.Equals, fleet.Instance("b"))
+	c.Assert(b.AddRecord(leader.Record{Primary: "b", Former: "a", Term: 2, Revision: 7}), qt.IsTrue)
+	b.SetInstances([]catalog.Instance{{Name: "a", Role: fleet.RolePrimary}})
+	c.Assert(b.DesignatedPrimary(), qt.Equals, fleet.Instance("b"))
 	_, _, settled := b.Primary()
 	c.Assert(settled, qt.IsFalse)
-	former, term, ok := b.Former()
+	former, term, ok := b.FormerPrimary()
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(former, qt.Equals, fleet.Instance("a"))
 	c.Assert(term, qt.Equals, fleet.Term(1))
-	c.Assert(b.Recorded(leader.Record{Primary: "c", Term: 2, Revision: 6}), qt.IsFalse)
+	c.Assert(b.AddRecord(leader.Record{Primary: "c", Term: 2, Revision: 6}), qt.IsFalse)
 }
 
 // An order names b, which still follows a. Its word that it is a replica, or a primary of
@@ -67,12 +67,12 @@
 func TestOnlyThePrimaryOfTheOrdersTermSettles(t *testing.T) {
 	c := qt.New(t)
 	b := led()
-	b.Recorded(leader.Record{Primary: "b", Former: "a", Term: 2, Revision: 7})
-	c.Assert(b.Answered("b", statement.Status{Role: fleet.RoleReplica, Term: 2}), qt.IsFalse)
-	c.Assert(b.Answered("b", statement.Status{Role: fleet.RolePrimary, Term: 1}), qt.IsFalse)
-	c.Assert(b.Answered("c", statement.Status{Role: fleet.RolePrimary, Term: 9}), qt.IsFalse)
-	c.Assert(b.Answered("b", statement.Status{Role: fleet.RolePrimary, Term: 2}), qt.IsTrue)
-	_, _, former := b.Former()
+	b.AddRecord(leader.Record{Primary: "b", Former: "a", Term: 2, Revision: 7})
+	c.Assert(b.AddStatus("b", statement.Status{Role: fleet.RoleReplica, Term: 2}), qt.IsFalse)
+	c.Assert(b.AddStatus("b", statement.Status{Role: fleet.RolePrimary, Term: 1}), qt.IsFalse)
+	c.Assert(b.AddStatus("c", statement.Status{Role: fleet.RolePrimary, Term: 9}), qt.IsFalse)
+	c.Assert(b.AddStatus("b", statement.Status{Role: fleet.RolePrimary, Term: 2}), qt.IsTrue)
+	_, _, former := b.FormerPrimary()
 	c.Assert(former, qt.IsFalse)
 }
 
@@ -80,21 +80,21 @@
 	c := qt.New(t)
 	others := []fleet.Instance{"b", "c"}
 	b := led()
-	v, term, _ := b.Judge("a", true, others)
-	c.Check(v, qt.Equals, leader.VerdictProved)
+	v, term, _ := b.VerifyAnswer("a", true, others)
+	c.Check(v, qt.Equals, leader.VerdictVerified)
 	c.Check(term, qt.Equals, fleet.Term(1))
-	v, _, ask := b.Judge("a", false, others)
+	v, _, ask := b.VerifyAnswer("a", false, others)
 	c.Check(v, qt.Equals, leader.VerdictAsk)
 	c.Check(ask, qt.DeepEquals, others)
-	v, _, _ = b.Judge("c", true, others)
+	v, _, _ = b.VerifyAnswer("c", true, others)
 	c.Check(v, qt.Equals, leader.VerdictRefuted)
 
-	b.Recorded(leader.Record{Primary: "b", Former: "a", Term: 2, Revision: 7})
-	v, _, ask = b.Judge("a", true, others)
+	b.AddRecord(leader.Record{Primary: "b", Former: "a", Term: 2, Revision: 7})
+	v, _, ask = b.VerifyAnswer("a", true, others)
 	c.Check(v, qt.Equals, leader.VerdictAsk)
 	c.Check(ask, qt.DeepEquals, []fleet.Instance{"b"})
-	b.Answered("b", statement.Status{Role: fleet.RolePrimary, Term: 2})
-	v, _, _ = b.Judge("a", true, others)
+	b.AddStatus("b", statement.Status{Role: fleet.RolePrimary, Term: 2})
+	v, _, _ = b.VerifyAnswer("a", true, others)
 	c.Check(v, qt.Equals, leader.VerdictRefuted)
 }
 
@@ -104,25 +104,25 @@
 func TestTheOrderedInstanceIsAskedAlsoWhenItIsOffTheList(t *testing.T) {
 	c := qt.New(t)
 	b := led()
-	b.Recorded(leader.Record{Primary: "b", Former: "a", Term: 2, Revision: 7})
-	_, _, ask := b.Judge("a", false, []fleet.Instance{"c"})
+	b.AddRecord(leader.Record{Primary: "b", Former: "a", Term: 2, Revision: 7})
+	_, _, ask := b.VerifyAnswer("a", false, []fleet.Instance{"c"})
 	c.Assert(ask, qt.DeepEquals, []fleet.Instance{"c", "b"})
 }
 
 func TestProofsWantAnAnswerAskedForAfterwards(t *testing.T) {
 	c := qt.New(t)
-	var p leader.Proofs
-	p.Add(leader.Claim{Key: 1, Term: 1, At: start, Deadline: start.Add(time.Second)}, []fleet.Instance{"b", "c"})
-	proved, refuted := p.Evidence("b", start.Add(-time.Millisecond), 1)
+	var p leader.PendingAnswers
+	p.Add(leader.PendingAnswer{Key: 1, Term: 1, At: start, Deadline: start.Add(time.Second)}, []fleet.Instance{"b", "c"})
+	proved, refuted := p.AddStatus("b", start.Add(-time.Millisecond), 1)
 	c.Assert(len(proved)+len(refuted), qt.Equals, 0)
-	p.Evidence("b", start, 1)
-	proved, _ = p.Evidence("c", start.Add(time.Millisecond), 1)
+	p.AddStatus("b", start, 1)
+	proved, _ = p.AddStatus("c", start.Add(time.Millisecond), 1)
 	c.Assert(proved, qt.HasLen, 1)
 
-	p.Add(leader.Claim{Key: 2, Term: 1, At: start, Deadline: start.Add(time.Second)}, []fleet.Instance{"b", "c"})
-	_, refuted = p.Evidence("c", start, 2)
+	p.Add(leader.PendingAnswer{Key: 2, Term: 1, At: start, Deadline: start.Add(time.Second)}, []fleet.Instance{"b", "c"})
+	_, refuted = p.AddStatus("c", start, 2)
 	c.Assert(refuted, qt.HasLen, 1)
-	p.Add(leader.Claim{Key: 3, Term: 1, At: start, Deadline: start.Add(time.Second)}, []fleet.Instance{"b"})
+	p.Add(leader.PendingAnswer{Key: 3, Term: 1, At: start, Deadline: start.Add(time.Second)}, []fleet.Instance{"b"})
 	c.Assert(p.Expire(start.Add(time.Second)), qt.HasLen, 0)
 	c.Assert(p.Expire(start.Add(time.Second+1)), qt.HasLen, 1)
 	c.Assert(p.Len(), qt.Equals, 0)
@@ -133,54 +133,54 @@
 func TestLeaseCountsFromTheSending(t *testing.T) {
 	c := qt.New(t)
 	var l leader.Lease
-	c.Assert(l.Certain(start), qt.IsFalse)
+	c.Assert(l.RecordsCurrent(start), qt.IsFalse)
 	l.Renewed(start)
-	c.Assert(l.Certain(start.Add(leader.LeaseValidity-1)), qt.IsTrue)
-	c.Assert(l.Certain(start.Add(leader.LeaseValidity)), qt.IsFalse)
+	c.Assert(l.RecordsCurrent(start.Add(leader.LeaseValidity-1)), qt.IsTrue)
+	c.Assert(l.RecordsCurrent(start.Add(leader.LeaseValidity)), qt.IsFalse)
 	l.Renewed(start.Add(-time.Second)) // an older one that comes late
-	c.Assert(l.Certain(start.Add(leader.LeaseValidity-1)), qt.IsTrue)
+	c.Assert(l.RecordsCurrent(start.Add(leader.LeaseValidity-1)), qt.IsTrue)
 	l.Lost()
-	c.Assert(l.Certain(start), qt.IsFalse)
+	c.Assert(l.RecordsCurrent(start), qt.IsFalse)
 }
 
 func TestDecide(t *testing.T) {
 	c := qt.New(t)
 	for _, t := range []struct {
 		name    string
-		change  func(m map[fleet.Instance]*leader.Member)
+		change  func(m map[fleet.Instance]*leader.InstanceInfo)
 		reason  leader.Reason
 		primary fleet.Instance
 	}{
-		{"all is well", func(map[fleet.Instance]*leader.Member) {}, "", ""},
-		{"two hosts miss it, four reach it", func(m map[fleet.Instance]*leader.Member) {
-			m["a"].Doubters, m["a"].Vouchers, m["a"].Doubted = 2, 4, time.Second
+		{"all is well", func(map[fleet.Instance]*leader.InstanceInfo) {}, "", ""},
+		{"two hosts miss it, four reach it", func(m map[fleet.Instance]*leader.InstanceInfo) {
+			m["a"].UnreachableFrom, m["a"].ReachableFrom, m["a"].UnreachableFor = 2, 4, time.Second
 		}, "", ""},
-		{"half of the hosts miss it", func(m map[fleet.Instance]*leader.Member) {
-			m["a"].Doubters, m["a"].Vouchers, m["a"].Doubted = 3, 3, time.Second
-		}, leader.ReasonLost, "b"},
-		{"its holder misses it and nobody reaches it", func(m map[fleet.Instance]*leader.Member) {
-			m["a"].Doubters, m["a"].Doubted = 1, time.Second
-		}, leader.ReasonLost, "b"},
-		{"the others have not looked yet", func(m map[fleet.Instance]*leader.Member) {
-			m["a"].Doubters, m["a"].Doubted = 1, 100*time.Millisecond
+		{"half of the hosts miss it", func(m map[fleet.Instance]*leader.InstanceInfo) {
+			m["a"].UnreachableFrom, m["a"].ReachableFrom, m["a"].UnreachableFor = 3, 3, time.Second
+		}, leader.ReasonUnreachable, "b"},
+		{"its holder misses it and nobody reaches it", func(m map[fleet.Instance]*leader.InstanceInfo) {
+			m["a"].UnreachableFrom, m["a"].UnreachableFor = 1, time.Second
+		}, leader.ReasonUnreachable, "b"},
+		{"the others have not looked yet", func(m map[fleet.Instance]*leader.InstanceInfo) {
+			m["a"].UnreachableFrom, m["a"].UnreachableFor = 1, 100*time.Millisecond
 		}, "", ""},
-		{"it leaves", func(m map[fleet.Instance]*leader.Member) { m["a"].Leaving = true }, leader.ReasonLeaving, "b"},
-		{"it has gone", func(m map[fleet.Instance]*leader.Member) { m["a"].Gone = true }, leader.ReasonGone, "b"},
-		{"the farthest log is promoted", func(m map[fleet.Instance]*leader.Member) {
+		{"it leaves", func(m map[fleet.Instance]*leader.InstanceInfo) { m["a"].Leaving = true }, leader.ReasonLeaving, "b"},
+		{"it has gone", func(m map[fleet.Instance]*leader.InstanceInfo) { m["a"].Gone = true }, leader.ReasonGone, "b"},
+		{"the farthest log is promoted", func(m map[fleet.Instance]*leader.InstanceInfo) {
 			m["a"].Gone, m["c"].Received.Index = true, 6
 		}, leader.ReasonGone, "c"},
-		{"not one that leaves", func(m map[fleet.Instance]*leader.Member) {
+		{"not one that leaves", func(m map[fleet.Instance]*leader.InstanceInfo) {
 			m["a"].Gone, m["b"].Leaving = true, true
 		}, leader.ReasonGone, "c"},
-		{"not one that didn't answer", func(m map[fleet.Instance]*leader.Member) {
+		{"not one that didn't answer", func(m map[fleet.Instance]*leader.InstanceInfo) {
 			m["a"].Gone, m["b"].Reachable = true, false
 		}, leader.ReasonGone, "c"},
-		{"nobody is left", func(m map[fleet.Instance]*leader.Member) {
+		{"nobody is left", func(m map[fleet.Instance]*leader.InstanceInfo) {
 			m["a"].Gone, m["b"].Reachable, m["c"].Reachable = true, false, false
 		}, "", ""},
 	} {
 		b := led()
-		o, ok := b.Decide(leader.Situation{Now: start, Since: start, Members: members(t.change)})
+		o, ok := b.Decide(leader.GroupStatus{Now: start, Since: start, Instances: members(t.change)})
 		c.Check(ok, qt.Equals, t.primary != "", qt.Commentf("%s", t.name))
 		c.Check(o.Primary, qt.Equals, t.primary, qt.Commentf("%s", t.name))
 		if ok {
@@ -196,10 +196,10 @@
 func TestReplacedPrimaryIsNoCandidate(t *testing.T) {
 	c := qt.New(t)
 	b := led()
-	b.Recorded(leader.Record{Primary: "b", Former: "a", Term: 2, Revision: 7})
-	b.Answered("b", statement.Status{Role: fleet.RolePrimary, Term: 2})
-	s := leader.Situation{Now: start, Since: start, Members: members(func(m map[fleet.Instance]*leader.Member) {
-		m["b"].Doubters, m["b"].Doubted = 4, time.Second
+	b.AddRecord(leader.Record{Primary: "b", Former: "a", Term: 2, Revision: 7})
+	b.AddStatus("b", statement.Status{Role: fleet.RolePrimary, Term: 2})
+	s := leader.GroupStatus{Now: start, Since: start, Instances: members(func(m map[fleet.Instance]*leader.InstanceInfo) {
+		m["b"].UnreachableFrom, m["b"].UnreachableFor = 4, time.Second
 		m["b"].Reachable, m["c"].Reachable = false, false
 	})}
 	_, ok := b.Decide(s)
@@ -211,8 +211,8 @@
 func TestNextOrderWaitsForTheOneOnItsWay(t *testing.T) {
 	c := qt.New(t)
 	b := led()
-	b.Recorded(leader.Record{Primary: "b", Former: "a", Term: 2, Revision: 7})
-	s := leader.Situation{Since: start, Members: members(func(m map[fleet.Instance]*leader.Member) {
+	b.AddRecord(leader.Record{Primary: "b", Former: "a", Term: 2, Revision: 7})
+	s := leader.GroupStatus{Since: start, Instances: members(func(m map[fleet.Instance]*leader.InstanceInfo) {
 		m["a"].Gone, m["b"].Reachable = true, false
 	})}
 	s.Now = start.Add(2 * time.Second)
@@ -230,13 +230,13 @@
 func TestPrimaryThatLedAlreadyIsAffirmed(t *testing.T) {
 	c := qt.New(t)
 	b := led()
-	b.Recorded(leader.Record{Primary: "a", Former: "a", Term: 2, Revision: 7})
-	_, ok := b.Affirmed("a", 1, start, start.Add(time.Second))
+	b.AddRecord(leader.Record{Primary: "a", Former: "a", Term: 2, Revision: 7})
+	_, ok := b.ConfirmingRequest("a", 1, start, start.Add(time.Second))
 	c.Assert(ok, qt.IsFalse)
-	o, ok := b.Affirmed("a", 1, start, start.Add(2*time.Second))
+	o, ok := b.ConfirmingRequest("a", 1, start, start.Add(2*time.Second))
 	c.Assert(ok, qt.IsTrue)
-	b.Recorded(leader.Record{Primary: o.Primary, Term: o.Term, Revision: 8})
-	c.Assert(b.Answered("a", statement.Status{Role: fleet.RolePrimary, Term: 1}), qt.IsTrue)
+	b.AddRecord(leader.Record{Primary: o.Primary, Term: o.Term, Revision: 8})
+	c.Assert(b.AddStatus("a", statement.Status{Role: fleet.RolePrimary, Term: 1}), qt.IsTrue)
 }
 
 // Whatever hosts believe, and whatever answers come in whatever order: an answer is proved
@@ -245,8 +245,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		names := []fleet.Instance{"a", "b", "c"}
 		truth, term, rev := fleet.Instance("a"), fleet.Term(1), uint64(0)
-		var b leader.Belief
-		b.Listed([]catalog.Instance{{Name: "a", Role: fleet.RolePrimary}})
+		var b leader.PrimaryState
+		b.SetInstances([]catalog.Instance{{Name: "a", Role: fleet.RolePrimary}})
 		told := true
 		for range 40 {
 			switch rapid.SampledFrom([]string{"order", "tell", "status", "answer"}).Draw(t, "step") {
@@ -254,7 +254,7 @@
 				truth, term, rev = rapid.SampledFrom(names).Draw(t, "next"), term+1, rev+1
 				told = false
 			case "tell":
-				b.Recorded(leader.Record{Primary: truth, Term: term, Revision: rev})
+				b.AddRecord(leader.Record{Primary: truth, Term: term, Revision: rev})
 				told = true
 			case "status":
 				n := rapid.SampledFrom(names).Draw(t, "who")
@@ -262,12 +262,12 @@
 				if n == truth {
 					s.Role = fleet.RolePrimary
 				}
-				b.Answered(n, s)
+				b.AddStatus(n, s)
 			case "answer":
 				n := rapid.SampledFrom(names).Draw(t, "from")
 				// Records are certain while none has been written that isn't known.
-				v, _, _ := b.Judge(n, told, names)
-				if v == leader.VerdictProved && n != truth {
+				v, _, _ := b.VerifyAnswer(n, told, names)
+				if v == leader.VerdictVerified && n != truth {
 					t.Fatalf("an answer of %s was proved while %s leads term %d", n, truth, term)
 				}
 			}
--- a/core/leader/proof.go
+++ b/core/leader/proof.go
@@ -12,15 +12,15 @@
 
 // The verdicts on an answer.
 const (
-	// VerdictProved lets the answer go to its caller.
-	VerdictProved Verdict = "proved"
+	// VerdictVerified lets the answer go to its caller.
+	VerdictVerified Verdict = "proved"
 	// VerdictAsk holds it until other instances have said that they lead no later term.
 	VerdictAsk Verdict = "ask"
 	// VerdictRefuted means that another primary may have been at work already.
 	VerdictRefuted Verdict = "refuted"
 )
 
-// Judge says what an answer of i, that has just come, needs before it may be given, and
+// VerifyAnswer says what an answer of i, that has just come, needs before it may be given, and
 // the term that i led in. certain tells that no order can have taken effect that this
 // host has no record of.
 //
@@ -30,12 +30,12 @@
 // the one that answered. Without them any other instance may, so each has to be asked;
 // a majority isn't enough, as a promotion needs no majority. Nor is the position that
 // comes with every answer: a promotion writes no entry.
-func (b *Belief) Judge(
+func (b *PrimaryState) VerifyAnswer(
 	i fleet.Instance, certain bool, others []fleet.Instance,
 ) (Verdict, fleet.Term, []fleet.Instance) {
 	if i == b.primary && b.settled {
 		if certain {
-			return VerdictProved, b.term, nil
+			return VerdictVerified, b.term, nil
 		}
 		return VerdictAsk, b.term, others
 	}
@@ -52,8 +52,8 @@
 	return VerdictAsk, b.formerTerm, others
 }
 
-// Claim is an answer that waits for its proof.
-type Claim struct {
+// PendingAnswer is an answer that waits for its proof.
+type PendingAnswer struct {
 	// Key names the answer to whoever holds it.
 	Key      uint64
 	Instance fleet.Instance
@@ -64,20 +64,20 @@
 	missing []fleet.Instance
 }
 
-// Proofs are the claims that wait. The zero Proofs holds none.
-type Proofs struct {
-	waiting []Claim
+// PendingAnswers are the claims that wait. The zero PendingAnswers holds none.
+type PendingAnswers struct {
+	waiting []PendingAnswer
 }
 
 // Add has c wait for an answer of each of others that was asked for after c.At.
-func (p *Proofs) Add(c Claim, others []fleet.Instance) {
+func (p *PendingAnswers) Add(c PendingAnswer, others []fleet.Instance) {
 	c.missing = slices.Clone(others)
 	p.waiting = append(p.waiting, c)
 }
 
-// Evidence takes in that i, asked at some moment, has said to be in term t. It returns
+// AddStatus takes in that i, asked at some moment, has said to be in term t. It returns
 // the claims that are proved by it and those that are refuted.
-func (p *Proofs) Evidence(i fleet.Instance, asked time.Time, t fleet.Term) (proved, refuted []Claim) {
+func (p *PendingAnswers) AddStatus(i fleet.Instance, asked time.Time, t fleet.Term) (proved, refuted []PendingAnswer) {
 	kept := p.waiting[:0]
 	for _, c := range p.waiting {
 		n := slices.Index(c.missing, i)
@@ -100,9 +100,9 @@
 }
 
 // Expire returns the claims whose deadline has passed.
-func (p *Proofs) Expire(now time.Time) []Claim {
-	var out []Claim
-	p.waiting = slices.DeleteFunc(p.waiting, func(c Claim) bool {
+func (p *PendingAnswers) Expire(now time.Time) []PendingAnswer {
+	var out []PendingAnswer
+	p.waiting = slices.DeleteFunc(p.waiting, func(c PendingAnswer) bool {
 		late := now.After(c.Deadline)
 		if late {
 			out = append(out, c)
@@ -112,9 +112,9 @@
 	return out
 }
 
-// Asked returns the instances whose answers are missing, each with the moment after
+// Awaited returns the instances whose answers are missing, each with the moment after
 // which it has to be asked.
-func (p *Proofs) Asked() map[fleet.Instance]time.Time {
+func (p *PendingAnswers) Awaited() map[fleet.Instance]time.Time {
 	if len(p.waiting) == 0 {
 		return nil
 	}
@@ -130,7 +130,7 @@
 }
 
 // Len returns how many claims wait.
-func (p *Proofs) Len() int { return len(p.waiting) }
+func (p *PendingAnswers) Len() int { return len(p.waiting) }
 
 // LeaseValidity is how long a renewed registration proves that no order has taken
 // effect. The platform takes 1 s to carry one out; the rest is for a host that is slow
@@ -166,17 +166,17 @@
 	return l.last.Add(LeaseValidity)
 }
 
-// QuietAfter is how long after a renewal that has succeeded was sent the store counts as silent: the
+// StoreSilentAfter is how long after a renewal that has succeeded was sent the store counts as silent: the
 // next one is sent 0.3 s after it, and a store that is well answers in some ms.
-const QuietAfter = 450 * time.Millisecond
+const StoreSilentAfter = 450 * time.Millisecond
 
-// Quiet reports whether the store has let renewals go unanswered. It may be slow.
-func (l *Lease) Quiet(now time.Time) bool { return now.Sub(l.last) > QuietAfter }
+// StoreSilent reports whether the store has let renewals go unanswered. It may be slow.
+func (l *Lease) StoreSilent(now time.Time) bool { return now.Sub(l.last) > StoreSilentAfter }
 
 // Lost takes in that the registration has ended.
 func (l *Lease) Lost() { l.sent = time.Time{} }
 
-// Certain reports whether no order that the host doesn't know of can have taken effect.
-func (l *Lease) Certain(now time.Time) bool {
+// RecordsCurrent reports whether no order that the host doesn't know of can have taken effect.
+func (l *Lease) RecordsCurrent(now time.Time) bool {
 	return !l.sent.IsZero() && now.Before(l.sent.Add(LeaseValidity))
 }
--- a/core/relay/duty.go
+++ b/core/relay/duty.go
@@ -157,17 +157,17 @@
 // The replicas are asked for their positions first: what the chosen one lacks is lost,
 // and what was heard of them last may be old.
 func (g *group) decide(now time.Time) {
-	if !g.r.duty.holds || !g.r.lease.Certain(now) || now.Before(g.ordering) {
+	if !g.r.duty.holds || !g.r.lease.RecordsCurrent(now) || now.Before(g.ordering) {
 		g.surveyed = time.Time{}
 		return
 	}
-	if i := g.instances[g.belief.Named()]; i != nil && i.leads {
-		if o, ok := g.belief.Affirmed(i.info.Name, i.term, g.given, now); ok {
+	if i := g.instances[g.belief.DesignatedPrimary()]; i != nil && i.leads {
+		if o, ok := g.belief.ConfirmingRequest(i.info.Name, i.term, g.given, now); ok {
 			g.order(now, o)
 			return
 		}
 	}
-	if !g.belief.Needed(g.situation(now)) {
+	if !g.belief.NeedsPromotion(g.situation(now)) {
 		g.surveyed = time.Time{}
 		return
 	}
@@ -190,7 +190,7 @@
 	g.order(now, o)
 }
 
-func (g *group) order(now time.Time, o leader.Order) {
+func (g *group) order(now time.Time, o leader.PromotionRequest) {
 	g.given = time.Time{}
 	g.ordering = now.Add(orderPause)
 	o.Service = g.name
@@ -205,43 +205,43 @@
 // its failure, has come back.
 const orderPause = time.Second
 
-func (g *group) situation(now time.Time) leader.Situation {
-	s := leader.Situation{Now: now, Since: g.unsettled}
+func (g *group) situation(now time.Time) leader.GroupStatus {
+	s := leader.GroupStatus{Now: now, Since: g.unsettled}
 	if g.belief.Record().Revision != 0 && g.changedAt.After(s.Since) {
 		s.Since = g.changedAt
 	}
 	for _, i := range g.instances {
-		m := leader.Member{
+		m := leader.InstanceInfo{
 			Name: i.info.Name, Leaving: i.info.Leaving || i.evacuated(), Gone: i.gone,
-			Cold: i.isCold(now), Abroad: g.abroad(i),
+			Cold: i.isCold(now), OutsideRegion: g.abroad(i),
 			Reachable: i.failures == 0 && !i.toldAt.Before(g.surveyed), Received: i.received,
-			Leads: i.leads, Term: i.term, Doubted: now.Sub(i.doubted),
+			Leads: i.leads, Term: i.term, UnreachableFor: now.Sub(i.doubted),
 		}
 		switch {
 		case i.doubtful(now):
-			m.Doubters++
+			m.UnreachableFrom++
 		case now.Sub(i.lastHeard) < reachedFor:
-			m.Vouchers++
+			m.ReachableFrom++
 		}
 		for _, d := range g.r.duty.doubts {
 			if d.counts(now) && d.instances.Has(i.info.Name) {
-				m.Doubters++
+				m.UnreachableFrom++
 			} else if d.counts(now) && d.reached.Has(i.info.Name) {
-				m.Vouchers++
+				m.ReachableFrom++
 			}
 		}
-		if m.Doubters == 0 {
+		if m.UnreachableFrom == 0 {
 			i.doubted = now
-			m.Doubted = 0
+			m.UnreachableFor = 0
 		}
-		s.Members = append(s.Members, m)
+		s.Instances = append(s.Instances, m)
 	}
 	return s
 }
 
 // Ordered takes in how an order has gone: given with success, or refused because the
 // instance isn't running.
-func (r *Relay) Ordered(o leader.Order, given, refused bool) {
+func (r *Relay) Ordered(o leader.PromotionRequest, given, refused bool) {
 	g := r.group(o.Service)
 	if given {
 		g.given = r.now()
@@ -258,7 +258,7 @@
 
 // StepDown has the former primary of an order stop, shortly before the new one leads:
 // what it would still accept would be lost, as the new one has no time to receive it.
-func (r *Relay) StepDown(o leader.Order) {
+func (r *Relay) StepDown(o leader.PromotionRequest) {
 	g := r.group(o.Service)
 	i := g.instances[o.Former]
 	if i == nil || g.belief.Record().Primary != o.Primary {
--- a/core/relay/forward.go
+++ b/core/relay/forward.go
@@ -135,7 +135,7 @@
 func (r *Relay) hearsFar(now time.Time) bool {
 	for _, g := range r.groups {
 		for _, i := range g.instances {
-			if !i.local() && len(i.conns) > 0 && now.Sub(i.lastHeard) < leader.QuietAfter {
+			if !i.local() && len(i.conns) > 0 && now.Sub(i.lastHeard) < leader.StoreSilentAfter {
 				return true
 			}
 		}
@@ -151,7 +151,7 @@
 // to be silent. Either silence alone may have another cause, so both are needed; the process
 // itself must not have stood still.
 func (r *Relay) secluded(now time.Time) bool {
-	return r.forwarding.secluded && r.lease.Quiet(now) && !now.Before(r.awake)
+	return r.forwarding.secluded && r.lease.StoreSilent(now) && !now.Before(r.awake)
 }
 
 // reaches reports whether the instance can be used, by this host's own connections or
--- a/core/relay/group.go
+++ b/core/relay/group.go
@@ -20,8 +20,8 @@
 	// confined are the regions of the service's databases that may not be served everywhere.
 	confined  []catalog.Homes
 	instances map[fleet.Instance]*instance
-	belief    leader.Belief
-	proofs    leader.Proofs
+	belief    leader.PrimaryState
+	proofs    leader.PendingAnswers
 	samples   fresh.Samples
 
 	queue   admit.Queue
@@ -89,7 +89,7 @@
 			if i != nil {
 				g.drop(i, "it has another address now, or has started anew")
 				// What it has said of itself was said before that.
-				g.belief.Deposed(in.Name)
+				g.belief.AddRefusal(in.Name)
 			}
 			i = &instance{g: g, info: in, lastHeard: now, doubted: now}
 			g.instances[in.Name] = i
@@ -115,7 +115,7 @@
 			g.drop(i, "it is off the list")
 		}
 	}
-	g.belief.Listed(is)
+	g.belief.SetInstances(is)
 	g.pump()
 }
 
@@ -159,7 +159,7 @@
 	if p, _, ok := g.belief.Primary(); ok && p == n {
 		return true
 	}
-	f, _, ok := g.belief.Former()
+	f, _, ok := g.belief.FormerPrimary()
 	return ok && f == n
 }
 
@@ -169,7 +169,7 @@
 	if p, _, ok := g.belief.Primary(); ok {
 		return g.instances[p]
 	}
-	if f, _, ok := g.belief.Former(); ok {
+	if f, _, ok := g.belief.FormerPrimary(); ok {
 		return g.instances[f]
 	}
 	return nil
@@ -191,7 +191,7 @@
 				Choice: "not the primary any more", Reason: "it refuses to write", Code: code,
 			})
 		}
-		g.belief.Deposed(c.Instance)
+		g.belief.AddRefusal(c.Instance)
 		g.r.cfg.Refresh()
 	default:
 	}
--- a/core/relay/model_test.go
+++ b/core/relay/model_test.go
@@ -74,7 +74,7 @@
 	m.servers["a"].role = fleet.RolePrimary
 	m.relay = relay.New(relay.Config{
 		Host: "h1", DataCentre: "obihiro", Now: func() time.Time { return m.now }, Dial: m.dial,
-		ParseStatus: parseStatus, Refresh: m.refresh, Order: func(leader.Order) {},
+		ParseStatus: parseStatus, Refresh: m.refresh, Order: func(leader.PromotionRequest) {},
 		Admit: func(catalog.Account) (time.Duration, bool) { return 0, true },
 		Note: func(e relay.Event) {
 			if e.Kind == relay.EventLeader || e.Kind == relay.EventPlace || e.Kind == relay.EventRetry {
--- a/core/relay/outlook.go
+++ b/core/relay/outlook.go
@@ -20,7 +20,7 @@
 		return "the primary's data centre is evacuated"
 	case g.superseded():
 		return "another instance says that it leads a later term"
-	case g.r.lease.Certain(now):
+	case g.r.lease.RecordsCurrent(now):
 		return ""
 	}
 	for _, n := range g.others(p.info.Name) {
--- a/core/relay/place.go
+++ b/core/relay/place.go
@@ -132,7 +132,7 @@
 	if leads && g.primary() == i {
 		return g.mayLead(o)
 	}
-	if o.lead || leads || !i.usable() || i.info.Name == g.belief.Named() {
+	if o.lead || leads || !i.usable() || i.info.Name == g.belief.DesignatedPrimary() {
 		return false
 	}
 	g.readAt = now
--- a/core/relay/primary_test.go
+++ b/core/relay/primary_test.go
@@ -141,7 +141,7 @@
 	c.Assert(o.Primary, qt.Equals, fleet.Instance("c"), qt.Commentf("it has received most"))
 	c.Assert(o.Former, qt.Equals, fleet.Instance("a"))
 	c.Assert(o.Term, qt.Equals, fleet.Term(2))
-	c.Assert(o.Reason, qt.Equals, leader.ReasonLost)
+	c.Assert(o.Reason, qt.Equals, leader.ReasonUnreachable)
 }
 
 // Another host doubts an instance that this one has not used for long. It looks for
--- a/core/relay/prove.go
+++ b/core/relay/prove.go
@@ -17,7 +17,7 @@
 	}
 	now := g.r.now()
 	c.inst.point = p
-	g.belief.Seen(c.Instance, p.Term)
+	g.belief.AddLogTerm(c.Instance, p.Term)
 	n, t, ok := g.belief.Primary()
 	if !ok || n != c.Instance {
 		return
@@ -30,7 +30,7 @@
 	}
 	s := fresh.Sample{Position: p, Asked: asked, Reign: t}
 	switch {
-	case g.r.lease.Certain(now):
+	case g.r.lease.RecordsCurrent(now):
 		g.sampled(c.Instance, s)
 	case g.unsure.Asked.IsZero():
 		g.unsure = s
@@ -94,7 +94,7 @@
 	if !asked.Before(c.inst.termAt) {
 		g.believe(c.inst, asked, s)
 	}
-	proved, refuted := g.proofs.Evidence(c.Instance, asked, s.Term)
+	proved, refuted := g.proofs.AddStatus(c.Instance, asked, s.Term)
 	for _, cl := range proved {
 		g.proved(cl)
 	}
@@ -118,7 +118,7 @@
 		// The record of the order that it follows is still to be read.
 		g.r.cfg.Refresh()
 	}
-	if !g.belief.Answered(i.info.Name, s) {
+	if !g.belief.AddStatus(i.info.Name, s) {
 		return
 	}
 	g.aliveAt, g.settledAt = now, now
@@ -146,9 +146,9 @@
 		return
 	}
 	now := g.r.now()
-	v, term, ask := g.belief.Judge(c.Instance, g.r.lease.Certain(now), g.others(c.Instance))
+	v, term, ask := g.belief.VerifyAnswer(c.Instance, g.r.lease.RecordsCurrent(now), g.others(c.Instance))
 	switch {
-	case v == leader.VerdictProved || v == leader.VerdictAsk && len(ask) == 0:
+	case v == leader.VerdictVerified || v == leader.VerdictAsk && len(ask) == 0:
 		g.confirmed(o, a)
 	case v == leader.VerdictRefuted:
 		o.answer = &a
@@ -156,7 +156,7 @@
 	default:
 		o.answer = &a
 		g.unproven[o.key] = o
-		g.proofs.Add(leader.Claim{
+		g.proofs.Add(leader.PendingAnswer{
 			Key: o.key, Instance: c.Instance, Term: term, At: now, Deadline: now.Add(proofPatience),
 		}, ask)
 		g.askFor(now)
@@ -213,7 +213,7 @@
 	o.finish(a)
 }
 
-func (g *group) proved(c leader.Claim) {
+func (g *group) proved(c leader.PendingAnswer) {
 	o := g.unproven[c.Key]
 	delete(g.unproven, c.Key)
 	if o == nil || o.over {
@@ -225,7 +225,7 @@
 	g.confirmed(o, *o.answer)
 }
 
-func (g *group) unproved(c leader.Claim, why string) {
+func (g *group) unproved(c leader.PendingAnswer, why string) {
 	o := g.unproven[c.Key]
 	delete(g.unproven, c.Key)
 	if o == nil || o.over {
--- a/core/relay/reign.go
+++ b/core/relay/reign.go
@@ -19,11 +19,11 @@
 	if p, t, ok := g.belief.Primary(); ok {
 		return later(known, g.disclaimed(g.others(p), t))
 	}
-	f, t, ok := g.belief.Former()
+	f, t, ok := g.belief.FormerPrimary()
 	if !ok {
 		return time.Time{}
 	}
-	named := g.belief.Named()
+	named := g.belief.DesignatedPrimary()
 	rest := make([]fleet.Instance, 0, len(g.instances))
 	for _, n := range g.others(f) {
 		if n != named {
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -40,7 +40,7 @@
 	// Refresh asks for the records of orders to be read anew.
 	Refresh func()
 	// Order has a change of primary made.
-	Order func(o leader.Order)
+	Order func(o leader.PromotionRequest)
 	// Observe takes in the time that a statement took, with how it ended. It may be nil.
 	Observe func(k catalog.Consistency, code statement.Code, took time.Duration)
 	// Hurry asks for the next tick soon, as something has begun to wait for it.
@@ -132,7 +132,7 @@
 // Recorded takes in the record of an order.
 func (r *Relay) Recorded(rec leader.Record) {
 	g := r.group(rec.Service)
-	if !g.belief.Recorded(rec) {
+	if !g.belief.AddRecord(rec) {
 		return
 	}
 	r.note(Event{
@@ -204,7 +204,7 @@
 func (r *Relay) CutOff() bool {
 	now := r.now()
 	secluded := r.secluded(now)
-	if r.lease.Certain(now) && !secluded || len(r.groups) == 0 {
+	if r.lease.RecordsCurrent(now) && !secluded || len(r.groups) == 0 {
 		return false
 	}
 	unable := 0
--- a/core/relay/state.go
+++ b/core/relay/state.go
@@ -59,7 +59,7 @@
 func (r *Relay) State() State {
 	now := r.now()
 	s := State{
-		Sessions: len(r.sessions), Certain: r.lease.Certain(now), Duty: r.duty.holds, CutOff: r.CutOff(),
+		Sessions: len(r.sessions), Certain: r.lease.RecordsCurrent(now), Duty: r.duty.holds, CutOff: r.CutOff(),
 		Drains: r.drain.on, Hosts: r.hosts, Counts: r.counts,
 	}
 	if r.catalog != nil {
--- a/core/relay/tick.go
+++ b/core/relay/tick.go
@@ -154,7 +154,7 @@
 
 // askFor asks the instances whose word is missing for a proof.
 func (g *group) askFor(now time.Time) {
-	for n, after := range g.proofs.Asked() {
+	for n, after := range g.proofs.Awaited() {
 		i := g.instances[n]
 		if i == nil || !i.askedAt.Before(after) {
 			continue
@@ -253,7 +253,7 @@
 	if _, _, ok := g.belief.Primary(); ok || now.Sub(g.verifiedAt) < settleEvery {
 		return
 	}
-	i := g.instances[g.belief.Named()]
+	i := g.instances[g.belief.DesignatedPrimary()]
 	if i == nil {
 		return
 	}
--- a/core/relay/world_test.go
+++ b/core/relay/world_test.go
@@ -26,7 +26,7 @@
 	relay *relay.Relay
 	// instances by name, in the order of their making.
 	instances map[fleet.Instance]*node
-	orders    []leader.Order
+	orders    []leader.PromotionRequest
 	events    []relay.Event
 	refreshed int
 	returned  int
@@ -80,7 +80,7 @@
 		Return:      func(fleet.Account) { w.returned++ },
 		ParseStatus: parseStatus,
 		Refresh:     func() { w.refreshed++ },
-		Order:       func(o leader.Order) { w.orders = append(w.orders, o) },
+		Order:       func(o leader.PromotionRequest) { w.orders = append(w.orders, o) },
 		Note:        func(e relay.Event) { w.events = append(w.events, e) },
 	})
 	for n, name := range []fleet.Instance{"a", "b", "c"} {
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -132,7 +132,7 @@
 	if f.role != follow.RoleFollower {
 		return
 	}
-	if l := h.links[f.session.Lead]; l == nil || l.failed || now.Sub(later(f.heard, f.asked)) > leader.QuietAfter {
+	if l := h.links[f.session.Lead]; l == nil || l.failed || now.Sub(later(f.heard, f.asked)) > leader.StoreSilentAfter {
 		h.choose(now)
 	}
 	l := h.links[f.session.Lead]
--- a/io/registry/duty.go
+++ b/io/registry/duty.go
@@ -149,7 +149,7 @@
 }
 
 // Order has a change of primary made.
-func (r *Registry) Order(o leader.Order) {
+func (r *Registry) Order(o leader.PromotionRequest) {
 	if !r.orders.TryPut(o) {
 		r.cfg.Logger.Error("order dropped: too many wait", zap.String("service", string(o.Service)))
 	}
@@ -168,7 +168,7 @@
 	}
 }
 
-func (r *Registry) give(ctx context.Context, o leader.Order) {
+func (r *Registry) give(ctx context.Context, o leader.PromotionRequest) {
 	at := time.Now()
 	err := r.order(ctx, o)
 	refused := errors.Is(err, ErrNotRunning)
@@ -192,7 +192,7 @@
 // the record was written learns of the end of it at its next renewal, and none can
 // believe for longer than a renewal is valid that no order was given. The platform
 // takes longer than that to carry the order out; where it may not, the rest is waited.
-func (r *Registry) order(ctx context.Context, o leader.Order) error {
+func (r *Registry) order(ctx context.Context, o leader.PromotionRequest) error {
 	fence := r.fence.Load()
 	if fence == 0 {
 		return failure.At(ErrConflict, "order a change of primary", "duty")
@@ -200,14 +200,14 @@
 	rec := leader.Record{
 		Service: o.Service, Term: o.Term, Primary: o.Primary, Former: o.Former, By: r.cfg.Self.Name,
 	}
-	rev, err := r.writeRecord(ctx, rec, Revision(o.Based))
+	rev, err := r.writeRecord(ctx, rec, Revision(o.BaseRevision))
 	if err != nil {
 		return err
 	}
 	rec.Revision = uint64(rev)
 	r.cfg.Post(func() { r.cfg.Record(rec) })
 	r.copyRecord(rec, rev)
-	if o.Reason == leader.ReasonAffirmed {
+	if o.Reason == leader.ReasonAlreadyPrimary {
 		return nil
 	}
 	if err := r.endOthers(ctx); err != nil {
@@ -297,7 +297,7 @@
 // An order without an answer is given again only while its record is the group's last: one that
 // came after a later order would be carried out after it, and put another primary in the place
 // of the one that all hosts know.
-func (r *Registry) promote(ctx context.Context, o leader.Order, rec leader.Record, fence uint64) error {
+func (r *Registry) promote(ctx context.Context, o leader.PromotionRequest, rec leader.Record, fence uint64) error {
 	p := Promotion{Service: o.Service, Instance: o.Primary, Holder: r.cfg.Self.Name, Fence: fence}
 	var err error
 	for n := range orderTries {
@@ -348,7 +348,7 @@
 }
 
 // planStepDown has a former primary that still works step down in time.
-func (r *Registry) planStepDown(ctx context.Context, o leader.Order) {
+func (r *Registry) planStepDown(ctx context.Context, o leader.PromotionRequest) {
 	if o.Reason != leader.ReasonLeaving {
 		return
 	}
--- a/io/registry/registry.go
+++ b/io/registry/registry.go
@@ -72,9 +72,9 @@
 	Holds func(holds bool)
 	// Ordered tells how an order has gone: given with success, or refused because its
 	// instance isn't running.
-	Ordered func(o leader.Order, given, refused bool)
+	Ordered func(o leader.PromotionRequest, given, refused bool)
 	// StepDown is called shortly before an order for a leaving primary takes effect.
-	StepDown func(o leader.Order)
+	StepDown func(o leader.PromotionRequest)
 
 	// Promote gives an order to the platform. It is called on a goroutine of its own.
 	Promote func(ctx context.Context, p Promotion) error
@@ -137,7 +137,7 @@
 	owning sync.Mutex
 	// fence is the number under which this host holds the duty, zero when it doesn't.
 	fence  atomic.Uint64
-	orders ring.Ring[leader.Order]
+	orders ring.Ring[leader.PromotionRequest]
 	// rehost is signalled when the hosts are to be listed anew.
 	rehost chan struct{}
 	// reload is signalled when the catalog is to be read anew.
@@ -182,7 +182,7 @@
 		relist: make(chan struct{}, 1), rehost: make(chan struct{}, 1),
 		reload: make(chan struct{}, 1), relisting: make(chan struct{}, 1),
 		changed: make(chan struct{}, 1), records: map[string]Entry{},
-		up: dependency{name: "store", log: cfg.Logger}, orders: ring.New[leader.Order](maxOrders),
+		up: dependency{name: "store", log: cfg.Logger}, orders: ring.New[leader.PromotionRequest](maxOrders),
 	}
 }
 
--- a/io/registry/registry_test.go
+++ b/io/registry/registry_test.go
@@ -109,10 +109,10 @@
 		Renewed:   func(time.Time) { t.renewed++ },
 		Lost:      func() { t.lost++ },
 		Holds:     func(h bool) { t.holds = append(t.holds, h) },
-		Ordered: func(o leader.Order, given, refused bool) {
+		Ordered: func(o leader.PromotionRequest, given, refused bool) {
 			t.ordered = append(t.ordered, fmt.Sprintf("%s %t %t", o.Service, given, refused))
 		},
-		StepDown: func(leader.Order) { t.steps = append(t.steps, "step down") },
+		StepDown: func(leader.PromotionRequest) { t.steps = append(t.steps, "step down") },
 		Promote: func(_ context.Context, p registry.Promotion) error {
 			t.mu.Lock()
 			defer t.mu.Unlock()
@@ -261,7 +261,7 @@
 		Put: []registry.Put{{Key: "our/hosts/other/1", Value: b}}, Lease: other,
 	})
 	c.Assert(err, qt.IsNil)
-	r.Order(leader.Order{Service: "orders", Primary: "b", Former: "a", Term: 2, Reason: leader.ReasonLeaving})
+	r.Order(leader.PromotionRequest{Service: "orders", Primary: "b", Former: "a", Term: 2, Reason: leader.ReasonLeaving})
 	until(c, t1, "the order", func() bool { return len(t1.promoted) == 1 })
 	c.Assert(s.renew(context.Background(), other), qt.ErrorIs, registry.ErrNotFound)
 	t1.get(func() {
@@ -307,7 +307,7 @@
 	const least = 500 * time.Millisecond
 	r, t1 := joinWith(c, s, 0, least)
 	until(c, t1, "the duty", func() bool { return len(t1.holds) == 1 })
-	r.Order(leader.Order{Service: "orders", Primary: "b", Former: "a", Term: 2, Reason: leader.ReasonLost})
+	r.Order(leader.PromotionRequest{Service: "orders", Primary: "b", Former: "a", Term: 2, Reason: leader.ReasonUnreachable})
 	until(c, t1, "the record", func() bool { return len(t1.records) == 1 })
 	until(c, t1, "the order", func() bool { return len(t1.promoted) == 1 })
 	// Registrations are ended after the record, so that the last of them was renewed before that.
@@ -322,7 +322,7 @@
 	r, t1 := join(c, s)
 	until(c, t1, "the duty", func() bool { return len(t1.holds) == 1 })
 	s.set(func() { s.lose = 1 })
-	r.Order(leader.Order{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonLost})
+	r.Order(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
 	until(c, t1, "the order", func() bool { return len(t1.promoted) == 1 })
 }
 
@@ -334,7 +334,7 @@
 	r, t1 := join(c, s)
 	until(c, t1, "the duty", func() bool { return len(t1.holds) == 1 })
 	s.put("our/primaries/orders", `{"service":"orders","term":2,"primary":"c"}`)
-	r.Order(leader.Order{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonLost})
+	r.Order(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
 	until(c, t1, "the outcome", func() bool { return len(t1.ordered) == 1 })
 	t1.get(func() {
 		c.Assert(t1.ordered, qt.DeepEquals, []string{"orders false false"})
@@ -356,7 +356,7 @@
 		}
 		return errDown
 	}
-	r.Order(leader.Order{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonLost})
+	r.Order(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
 	until(c, t1, "the outcome", func() bool { return len(t1.ordered) == 1 })
 	t1.get(func() {
 		c.Assert(t1.promoted, qt.HasLen, 1)
@@ -376,7 +376,7 @@
 		}
 		return registry.ErrNotRunning
 	}
-	r.Order(leader.Order{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonLost})
+	r.Order(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
 	until(c, t1, "the outcome", func() bool { return len(t1.ordered) == 1 })
 	t1.get(func() { c.Assert(t1.ordered, qt.DeepEquals, []string{"orders false false"}) })
 }
@@ -398,7 +398,7 @@
 	})
 	s.put("our/duty", `"other"`)
 	until(c, t1, "a new registration", func() bool { return t1.lost == 1 && t1.renewed > 1 })
-	r.Order(leader.Order{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonLost})
+	r.Order(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
 	until(c, t1, "the outcome", func() bool { return len(t1.ordered) == 1 })
 	t1.get(func() {
 		c.Assert(t1.promoted, qt.HasLen, 0)
