--- a/core/group/group.go
+++ b/core/group/group.go
@@ -17,45 +17,45 @@
 	// Rules are the guards; the zero value but in tests.
 	Rules Rules
 
-	seen    []Seen
+	seen    []Observation
 	history History
 	ticked  time.Time
 }
 
-// Table is a copy of a Group at one moment. It is never changed.
-type Table struct {
+// Snapshot is a copy of a Group at one moment. It is never changed.
+type Snapshot struct {
 	At time.Time `json:"at"`
 	// Primary serves writes in Term; empty while no primary is known.
 	Primary fleet.Instance `json:"primary"`
 	Term    fleet.Term     `json:"term"`
-	// Seen is in the order of the document.
-	Seen    []Seen  `json:"seen"`
-	History History `json:"history"`
+	// Observations is in the order of the document.
+	Observations []Observation `json:"seen"`
+	History      History       `json:"history"`
 	// Rules are those of the Group.
 	Rules Rules `json:"-"`
 }
 
 // Find returns what is known of an instance.
-func (t Table) Find(n fleet.Instance) (Seen, bool) {
-	for _, s := range t.Seen {
+func (t Snapshot) Find(n fleet.Instance) (Observation, bool) {
+	for _, s := range t.Observations {
 		if s.Instance.Name == n {
 			return s, true
 		}
 	}
-	return Seen{}, false
+	return Observation{}, false
 }
 
 // Age returns how old the data of a log that ends at p is at the most.
-func (t Table) Age(p fleet.LogPosition, now time.Time) (time.Duration, bool) {
+func (t Snapshot) Age(p fleet.LogPosition, now time.Time) (time.Duration, bool) {
 	return t.History.Age(p, now)
 }
 
 // Configure takes up the instances of a document and keeps what is known of
 // those that stay.
 func (g *Group) Configure(now time.Time, instances []document.Instance) {
-	seen := make([]Seen, 0, len(instances))
+	seen := make([]Observation, 0, len(instances))
 	for _, i := range instances {
-		s := Seen{Instance: i}
+		s := Observation{Instance: i}
 		if o := g.find(i.Name); o != nil && o.Instance.Address == i.Address {
 			s = *o
 			s.Instance = i
@@ -70,7 +70,7 @@
 	g.seen = seen
 }
 
-func (g *Group) find(n fleet.Instance) *Seen {
+func (g *Group) find(n fleet.Instance) *Observation {
 	for i := range g.seen {
 		if g.seen[i].Instance.Name == n {
 			return &g.seen[i]
@@ -79,15 +79,15 @@
 	return nil
 }
 
-// Ask notes that an instance is being asked for its status.
-func (g *Group) Ask(n fleet.Instance, now time.Time) {
+// StatusRequested notes that an instance is being asked for its status.
+func (g *Group) StatusRequested(n fleet.Instance, now time.Time) {
 	if s := g.find(n); s != nil {
 		s.ask(now)
 	}
 }
 
-// Answer takes up a status whose question was sent at sent.
-func (g *Group) Answer(n fleet.Instance, sent, now time.Time, st fleet.Status) {
+// StatusReceived takes up a status whose question was sent at sent.
+func (g *Group) StatusReceived(n fleet.Instance, sent, now time.Time, st fleet.Status) {
 	// A wrongly wired address answers under another name; its terms and
 	// positions would be counted for an instance that never said so.
 	if s := g.find(n); s != nil && st.Instance == n {
@@ -99,8 +99,8 @@
 	}
 }
 
-// Learn takes up a status that came as the answer to an order sent at sent.
-func (g *Group) Learn(n fleet.Instance, sent, now time.Time, st fleet.Status) {
+// CommandAnswered takes up a status that came as the answer to an order sent at sent.
+func (g *Group) CommandAnswered(n fleet.Instance, sent, now time.Time, st fleet.Status) {
 	if s := g.find(n); s != nil && st.Instance == n {
 		s.learn(sent, now, st)
 		g.prove(now)
@@ -113,17 +113,17 @@
 	}
 }
 
-// Fail notes that a question went unanswered. refused tells that the address
+// StatusFailed notes that a question went unanswered. refused tells that the address
 // refused the connection, so that no process serves there.
-func (g *Group) Fail(n fleet.Instance, refused bool) {
+func (g *Group) StatusFailed(n fleet.Instance, refused bool) {
 	if s := g.find(n); s != nil {
 		s.fail(refused)
 	}
 }
 
-// Refuse notes that an instance answered but refused the connection for having
+// TooManyConnections notes that an instance answered but refused the connection for having
 // too many: it lives, though its status isn't known.
-func (g *Group) Refuse(n fleet.Instance, now time.Time) {
+func (g *Group) TooManyConnections(n fleet.Instance, now time.Time) {
 	if s := g.find(n); s != nil {
 		s.hear(now)
 	}
@@ -143,16 +143,16 @@
 		return false
 	}
 	for i := range g.seen {
-		if !g.seen[i].Waiting.IsZero() {
-			g.seen[i].Waiting = now
+		if !g.seen[i].UnansweredSince.IsZero() {
+			g.seen[i].UnansweredSince = now
 		}
 	}
 	return true
 }
 
 // Table returns a copy of what is known now.
-func (g *Group) Table(now time.Time) Table {
-	t := Table{At: now, Seen: slices.Clone(g.seen), History: g.history, Rules: g.Rules}
+func (g *Group) Table(now time.Time) Snapshot {
+	t := Snapshot{At: now, Observations: slices.Clone(g.seen), History: g.history, Rules: g.Rules}
 	if i, ok := leader(g.seen); ok {
 		t.Primary = g.seen[i].Instance.Name
 		t.Term = g.seen[i].Status.Last.Term
--- a/core/group/group_test.go
+++ b/core/group/group_test.go
@@ -29,7 +29,7 @@
 		if n == "a" {
 			r = fleet.RolePrimary
 		}
-		g.Answer(n, start, start, status(n, 1, r, fleet.LogPosition{Term: 1, Index: 5}))
+		g.StatusReceived(n, start, start, status(n, 1, r, fleet.LogPosition{Term: 1, Index: 5}))
 	}
 	return g
 }
@@ -43,8 +43,8 @@
 func TestCrossedAnswersDontTurnBack(t *testing.T) {
 	c := qt.New(t)
 	g := three()
-	g.Answer("a", later(20), later(21), status("a", 2, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
-	g.Answer("a", later(10), later(30), status("a", 1, fleet.RolePrimary, fleet.LogPosition{Term: 1, Index: 5}))
+	g.StatusReceived("a", later(20), later(21), status("a", 2, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
+	g.StatusReceived("a", later(10), later(30), status("a", 1, fleet.RolePrimary, fleet.LogPosition{Term: 1, Index: 5}))
 	c.Assert(g.Table(later(30)).Primary, qt.Equals, fleet.Instance(""))
 }
 
@@ -54,9 +54,9 @@
 	c := qt.New(t)
 	g := three()
 	w := fleet.LogPosition{Term: 1, Index: 6}
-	g.Answer("a", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
-	g.Answer("b", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
-	g.Learn("b", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
+	g.StatusReceived("a", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
+	g.StatusReceived("b", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
+	g.CommandAnswered("b", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
 	got := g.Table(later(2)).Acknowledge(document.AcknowledgeReplicated, w, start)
 	c.Assert(got, qt.Equals, group.VerdictWait)
 }
@@ -67,7 +67,7 @@
 	c := qt.New(t)
 	g := three()
 	for _, n := range []fleet.Instance{"b", "c"} {
-		g.Answer(n, later(1), later(2), status(n, 2, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
+		g.StatusReceived(n, later(1), later(2), status(n, 2, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
 	}
 	t2 := g.Table(later(2))
 	c.Assert(t2.Primary, qt.Equals, fleet.Instance(""))
@@ -82,10 +82,10 @@
 	// b has been left out of the last promotion, c has promised to a proposer
 	// whose promotion isn't over and would refuse.
 	for _, n := range []fleet.Instance{"a"} {
-		g.Answer(n, later(1), later(2), status(n, 2, fleet.RolePrimary, fleet.LogPosition{Term: 2, Index: 6}))
+		g.StatusReceived(n, later(1), later(2), status(n, 2, fleet.RolePrimary, fleet.LogPosition{Term: 2, Index: 6}))
 	}
-	g.Answer("c", later(1), later(2), status("c", 3, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
-	c.Assert(group.Repair(g.Table(later(2))), qt.DeepEquals, []group.Order{{
+	g.StatusReceived("c", later(1), later(2), status("c", 3, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
+	c.Assert(group.Repair(g.Table(later(2))), qt.DeepEquals, []group.Command{{
 		Act: group.ActFollow, Instance: "b", Term: 2, Primary: "a", Address: "127.0.0.1:1",
 	}})
 }
@@ -96,7 +96,7 @@
 	c := qt.New(t)
 	g := three()
 	p, orders := group.Promote(start, g.Table(start), "h0/1/1", nil)
-	var promote []group.Order
+	var promote []group.Command
 	for _, o := range orders {
 		st := status(o.Instance, p.Term, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5})
 		promote = append(promote, p.Done(later(1), o, st, nil)...)
--- a/core/group/headless.go
+++ b/core/group/headless.go
@@ -8,29 +8,29 @@
 )
 
 // top returns the highest term that is promised, and since when.
-func (t Table) top() (fleet.Term, time.Time) {
+func (t Snapshot) top() (fleet.Term, time.Time) {
 	top := nextTerm(t) - 1
 	var since time.Time
-	for _, s := range t.Seen {
-		if s.Status.Promised == top && s.Raised.After(since) {
-			since = s.Raised
+	for _, s := range t.Observations {
+		if s.Status.Promised == top && s.TermRaisedAt.After(since) {
+			since = s.TermRaisedAt
 		}
 	}
 	return top, since
 }
 
-// Headless reports whether no primary is known that serves in the highest term
+// NoPrimary reports whether no primary is known that serves in the highest term
 // that is promised.
-func (t Table) Headless() bool {
+func (t Snapshot) NoPrimary() bool {
 	top, _ := t.top()
 	return t.Primary == "" || t.Term < top
 }
 
-// Troubled reports whether the instances have to be asked quickly and the other
+// NeedsFastPolling reports whether the instances have to be asked quickly and the other
 // hosts for their views.
-func (p Policy) Troubled(t Table, now time.Time) bool {
+func (p Policy) NeedsFastPolling(t Snapshot, now time.Time) bool {
 	s, ok := t.Find(t.Primary)
-	return !ok || t.Headless() || p.Alarmed(s, now)
+	return !ok || t.NoPrimary() || p.ShouldAskPeers(s, now)
 }
 
 // headless decides about a group without a known primary: what a proposer leaves
@@ -41,35 +41,35 @@
 // connections for having too many is waited for, and for one that is silent the
 // other hosts are heard as if it were the primary. A host that had just started
 // and found the primary full would otherwise replace it.
-func (p Policy) headless(now time.Time, t Table, me Witness, views []View, order []fleet.Host) Judgement {
+func (p Policy) headless(now time.Time, t Snapshot, me Observer, views []View, order []fleet.Host) Assessment {
 	top, since := t.top()
 	d := now.Sub(since)
 	if d < orDefault(p.StrandedAfter, DefaultStrandedAfter) {
-		return Judgement{Reason: "another promotion is under way"}
+		return Assessment{Reason: "another promotion is under way"}
 	}
 	var hidden int
-	for _, s := range t.Seen {
+	for _, s := range t.Observations {
 		if s.Known() && s.Sent.After(since) {
 			continue
 		}
 		if !p.Suspects(s, now) {
-			return Judgement{Reason: fmt.Sprintf("instance %s may be the primary and has yet to tell", s.Instance.Name)}
+			return Assessment{Reason: fmt.Sprintf("instance %s may be the primary and has yet to tell", s.Instance.Name)}
 		}
 		hidden++
 	}
 	if hidden == 0 {
-		return Judgement{
+		return Assessment{
 			Cause: CauseStranded, Rank: rank(me.Host, order, views),
 			Reason: fmt.Sprintf("term %d is promised and has no primary", top),
 		}
 	}
-	v := votes{miss: []Witness{me}}
+	v := votes{miss: []Observer{me}}
 	for _, w := range views {
 		if p.opinion(w, t) == opinionNewer {
-			return Judgement{Reason: fmt.Sprintf("host %s knows the primary", w.Host)}
+			return Assessment{Reason: fmt.Sprintf("host %s knows the primary", w.Host)}
 		}
 		if w.informed() {
-			v.miss = append(v.miss, Witness{Host: w.Host, DataCentre: w.DataCentre})
+			v.miss = append(v.miss, Observer{Host: w.Host, DataCentre: w.DataCentre})
 		}
 	}
 	j := p.silent(d, v, t, len(order))
--- a/core/group/model_test.go
+++ b/core/group/model_test.go
@@ -69,7 +69,7 @@
 // TestModelFindsEveryMissingGuard takes out one guard at a time. A model that
 // still held would not be testing that guard.
 func TestModelFindsEveryMissingGuard(t *testing.T) {
-	unfenced := func(f func(s group.Seen, n fleet.Term, since time.Time) bool) group.Rules {
+	unfenced := func(f func(s group.Observation, n fleet.Term, since time.Time) bool) group.Rules {
 		return group.Rules{Unfenced: f}
 	}
 	tests := []struct {
@@ -78,22 +78,22 @@
 		set   func(w *world)
 	}{
 		{guard: "majority", rules: group.Rules{Majority: func(n int) int { return n / 2 }}},
-		{guard: "promised term", rules: unfenced(func(s group.Seen, _ fleet.Term, since time.Time) bool {
+		{guard: "promised term", rules: unfenced(func(s group.Observation, _ fleet.Term, since time.Time) bool {
 			return s.Known() && !s.Sent.Before(since)
 		})},
 		{
 			guard: "asked after the commit",
-			rules: unfenced(func(s group.Seen, n fleet.Term, _ time.Time) bool {
+			rules: unfenced(func(s group.Observation, n fleet.Term, _ time.Time) bool {
 				return s.Known() && s.Status.Promised == n
 			}),
 			set: func(w *world) { w.rule = document.AcknowledgePrimary },
 		},
-		{guard: "holds the write", rules: group.Rules{Holds: func(group.Seen, fleet.LogPosition) bool { return true }}},
+		{guard: "holds the write", rules: group.Rules{HasEntry: func(group.Observation, fleet.LogPosition) bool { return true }}},
 		{guard: "fence accepted", rules: group.Rules{
 			Fenced: func(fleet.Status, error, fleet.Term) bool { return true },
 		}},
 		{guard: "highest", rules: group.Rules{
-			Highest: func(f map[fleet.Instance]fleet.Status, members []fleet.Instance) fleet.Instance {
+			MostAdvanced: func(f map[fleet.Instance]fleet.Status, members []fleet.Instance) fleet.Instance {
 				for _, m := range members {
 					if _, ok := f[m]; ok {
 						return m
--- a/core/group/promotion.go
+++ b/core/group/promotion.go
@@ -18,9 +18,9 @@
 	ActFollow  Act = "follow"
 )
 
-// Order is one step for one instance to take. Primary and Address are set for
+// Command is one step for one instance to take. Primary and Address are set for
 // ActFollow.
-type Order struct {
+type Command struct {
 	Act      Act            `json:"act"`
 	Instance fleet.Instance `json:"instance"`
 	Term     fleet.Term     `json:"term"`
@@ -75,7 +75,7 @@
 // the whole fleet, as Proposer makes it.
 //
 // Instances in excluded are fenced but not promoted, such as those that leave.
-func Promote(now time.Time, t Table, proposer fleet.Host, excluded fleet.Set[fleet.Instance]) (*Promotion, []Order) {
+func Promote(now time.Time, t Snapshot, proposer fleet.Host, excluded fleet.Set[fleet.Instance]) (*Promotion, []Command) {
 	p := &Promotion{
 		Term:     nextTerm(t),
 		Proposer: proposer,
@@ -86,35 +86,35 @@
 		fenced:   make(map[fleet.Instance]fleet.Status),
 		refused:  fleet.NewSet[fleet.Instance](),
 	}
-	orders := make([]Order, 0, len(t.Seen))
-	for _, s := range t.Seen {
+	orders := make([]Command, 0, len(t.Observations))
+	for _, s := range t.Observations {
 		p.members = append(p.members, s.Instance)
 		orders = append(orders, p.order(ActFence, s.Instance.Name))
 	}
 	return p, orders
 }
 
-func nextTerm(t Table) fleet.Term {
+func nextTerm(t Snapshot) fleet.Term {
 	var n fleet.Term
-	for _, s := range t.Seen {
+	for _, s := range t.Observations {
 		n = max(n, s.Status.Promised, s.Status.Last.Term)
 	}
 	return n + 1
 }
 
-func (p *Promotion) order(a Act, n fleet.Instance) Order {
-	return Order{Act: a, Instance: n, Term: p.Term, Proposer: p.Proposer}
+func (p *Promotion) order(a Act, n fleet.Instance) Command {
+	return Command{Act: a, Instance: n, Term: p.Term, Proposer: p.Proposer}
 }
 
-// Over reports whether the promotion has come to its end.
-func (p *Promotion) Over() bool {
+// Ended reports whether the promotion has come to its end.
+func (p *Promotion) Ended() bool {
 	return p.Phase == PhaseDone || p.Phase == PhaseFailed
 }
 
 // Done takes up an instance's answer to an order and returns what to do next.
 // Answers to another promotion's orders are passed over.
-func (p *Promotion) Done(now time.Time, o Order, st fleet.Status, err error) []Order {
-	if p.Over() || o.Term != p.Term || o.Proposer != p.Proposer {
+func (p *Promotion) Done(now time.Time, o Command, st fleet.Status, err error) []Command {
+	if p.Ended() || o.Term != p.Term || o.Proposer != p.Proposer {
 		return nil
 	}
 	if o.Act == ActPromote {
@@ -132,8 +132,8 @@
 }
 
 // Tick ends the wait for further instances, and a promotion that hangs.
-func (p *Promotion) Tick(now time.Time) []Order {
-	if p.Over() {
+func (p *Promotion) Tick(now time.Time) []Command {
+	if p.Ended() {
 		return nil
 	}
 	if now.Sub(p.started) > attemptLimit {
@@ -143,7 +143,7 @@
 	return p.choose(now)
 }
 
-func (p *Promotion) choose(now time.Time) []Order {
+func (p *Promotion) choose(now time.Time) []Command {
 	if p.Phase != PhaseFence {
 		return nil
 	}
@@ -165,7 +165,7 @@
 		return nil
 	}
 	p.Phase, p.Target = PhasePromote, p.rules.highest(from, p.names())
-	return []Order{p.order(ActPromote, p.Target)}
+	return []Command{p.order(ActPromote, p.Target)}
 }
 
 // candidates returns the fenced instances that may be promoted, and whether
@@ -179,7 +179,7 @@
 	return out, len(out) >= p.rules.majority(len(p.members))
 }
 
-func (p *Promotion) promoted(st fleet.Status, err error) []Order {
+func (p *Promotion) promoted(st fleet.Status, err error) []Command {
 	if p.Phase != PhasePromote {
 		return nil
 	}
@@ -201,8 +201,8 @@
 
 // point has all others follow the new primary. Those that don't get the order
 // are left to Repair.
-func (p *Promotion) point() []Order {
-	var orders []Order
+func (p *Promotion) point() []Command {
+	var orders []Command
 	var address string
 	for _, m := range p.members {
 		if m.Name == p.Target {
@@ -211,7 +211,7 @@
 	}
 	for _, m := range p.members {
 		if m.Name != p.Target {
-			orders = append(orders, Order{
+			orders = append(orders, Command{
 				Act: ActFollow, Instance: m.Name, Term: p.Term, Primary: p.Target, Address: address,
 			})
 		}
@@ -223,13 +223,13 @@
 // follow the primary: those that a promotion has left out, and the former
 // primary once it is back. An instance that has promised a later term is left
 // alone, since it would refuse.
-func Repair(t Table) []Order {
+func Repair(t Snapshot) []Command {
 	p, ok := t.Find(t.Primary)
 	if !ok {
 		return nil
 	}
-	var orders []Order
-	for _, s := range t.Seen {
+	var orders []Command
+	for _, s := range t.Observations {
 		if !s.Known() || s.Instance.Name == t.Primary || s.Status.Promised > t.Term {
 			continue
 		}
@@ -237,7 +237,7 @@
 		if st.Role == fleet.RoleReplica && st.Follows == t.Primary && st.Promised == t.Term {
 			continue
 		}
-		orders = append(orders, Order{
+		orders = append(orders, Command{
 			Act: ActFollow, Instance: s.Instance.Name, Term: t.Term,
 			Primary: t.Primary, Address: p.Instance.Address,
 		})
--- a/core/group/proof.go
+++ b/core/group/proof.go
@@ -27,10 +27,10 @@
 // promotion fences a majority first, so a majority that is still at the write's
 // term after the commit shares an instance with any later promotion, and that
 // instance brings the write along. See docs/design/failover.md.
-func (t Table) Acknowledge(rule document.Acknowledge, w fleet.LogPosition, since time.Time) Verdict {
-	need := t.Rules.majority(len(t.Seen))
+func (t Snapshot) Acknowledge(rule document.Acknowledge, w fleet.LogPosition, since time.Time) Verdict {
+	need := t.Rules.majority(len(t.Observations))
 	var holds, replaced int
-	for _, s := range t.Seen {
+	for _, s := range t.Observations {
 		if s.Known() && s.Status.Promised > w.Term {
 			replaced++
 		}
@@ -60,7 +60,7 @@
 //
 // It counts from when the questions were sent. Counting from the answers would
 // call data fresh that is as old as the answer took to arrive.
-func (t Table) Prove() (Proof, bool) {
+func (t Snapshot) Prove() (Proof, bool) {
 	p, ok := t.Find(t.Primary)
 	if !ok {
 		return Proof{}, false
@@ -78,14 +78,14 @@
 // FencedSince returns the latest moment up to which the statuses show that no
 // primary of a term after n was promoted, and false when they show none: the
 // earliest question of the latest majority that was at n.
-func (t Table) FencedSince(n fleet.Term) (time.Time, bool) {
+func (t Snapshot) FencedSince(n fleet.Term) (time.Time, bool) {
 	var sent []time.Time
-	for _, s := range t.Seen {
+	for _, s := range t.Observations {
 		if t.Rules.unfenced(s, n, time.Time{}) {
 			sent = append(sent, s.Sent)
 		}
 	}
-	need := t.Rules.majority(len(t.Seen))
+	need := t.Rules.majority(len(t.Observations))
 	if len(sent) < need {
 		return time.Time{}, false
 	}
@@ -95,7 +95,7 @@
 
 // leader returns the index of the instance that serves as the primary in the
 // highest term, unless a majority is known to have gone on to a later term.
-func leader(seen []Seen) (int, bool) {
+func leader(seen []Observation) (int, bool) {
 	best := -1
 	for i, s := range seen {
 		if s.Serves() && (best < 0 || seen[best].Status.Last.Term < s.Status.Last.Term) {
--- a/core/group/rules.go
+++ b/core/group/rules.go
@@ -14,10 +14,10 @@
 	// Majority returns how many of n instances are a majority.
 	Majority func(n int) int
 	// Unfenced is described at the function Unfenced, and so are the others.
-	Unfenced func(s Seen, t fleet.Term, since time.Time) bool
-	Holds    func(s Seen, w fleet.LogPosition) bool
-	Fenced   func(st fleet.Status, err error, t fleet.Term) bool
-	Highest  func(fenced map[fleet.Instance]fleet.Status, members []fleet.Instance) fleet.Instance
+	Unfenced     func(s Observation, t fleet.Term, since time.Time) bool
+	HasEntry     func(s Observation, w fleet.LogPosition) bool
+	Fenced       func(st fleet.Status, err error, t fleet.Term) bool
+	MostAdvanced func(fenced map[fleet.Instance]fleet.Status, members []fleet.Instance) fleet.Instance
 }
 
 // Majority returns how many of n instances are a majority. Any two majorities
@@ -28,14 +28,14 @@
 
 // Unfenced reports whether the instance was asked at or after since and had
 // then promised no term but t.
-func Unfenced(s Seen, t fleet.Term, since time.Time) bool {
+func Unfenced(s Observation, t fleet.Term, since time.Time) bool {
 	return s.Known() && !s.Sent.Before(since) && s.Status.Promised == t
 }
 
-// Holds reports whether the instance's log has the entry at w. An entry of a
+// HasEntry reports whether the instance's log has the entry at w. An entry of a
 // later term in a log doesn't tell that the log has w: it has to be counted for
 // an instance that was Unfenced at w's term in the same status.
-func Holds(s Seen, w fleet.LogPosition) bool {
+func HasEntry(s Observation, w fleet.LogPosition) bool {
 	return s.Status.Last.Covers(w)
 }
 
@@ -54,9 +54,9 @@
 	return fleet.Host(fmt.Sprintf("%s/%x/%d", h, epoch, attempt))
 }
 
-// Highest returns the instance whose last entry is the highest of those fenced,
+// MostAdvanced returns the instance whose last entry is the highest of those fenced,
 // which has every write that a majority had. The earlier in members wins a tie.
-func Highest(fenced map[fleet.Instance]fleet.Status, members []fleet.Instance) fleet.Instance {
+func MostAdvanced(fenced map[fleet.Instance]fleet.Status, members []fleet.Instance) fleet.Instance {
 	var best fleet.Instance
 	for _, m := range members {
 		st, ok := fenced[m]
@@ -74,18 +74,18 @@
 	return Majority(n)
 }
 
-func (r Rules) unfenced(s Seen, t fleet.Term, since time.Time) bool {
+func (r Rules) unfenced(s Observation, t fleet.Term, since time.Time) bool {
 	if r.Unfenced != nil {
 		return r.Unfenced(s, t, since)
 	}
 	return Unfenced(s, t, since)
 }
 
-func (r Rules) holds(s Seen, w fleet.LogPosition) bool {
-	if r.Holds != nil {
-		return r.Holds(s, w)
+func (r Rules) holds(s Observation, w fleet.LogPosition) bool {
+	if r.HasEntry != nil {
+		return r.HasEntry(s, w)
 	}
-	return Holds(s, w)
+	return HasEntry(s, w)
 }
 
 func (r Rules) fenced(st fleet.Status, err error, t fleet.Term) bool {
@@ -96,8 +96,8 @@
 }
 
 func (r Rules) highest(fenced map[fleet.Instance]fleet.Status, members []fleet.Instance) fleet.Instance {
-	if r.Highest != nil {
-		return r.Highest(fenced, members)
+	if r.MostAdvanced != nil {
+		return r.MostAdvanced(fenced, members)
 	}
-	return Highest(fenced, members)
+	return MostAdvanced(fenced, members)
 }
--- a/core/group/seen.go
+++ b/core/group/seen.go
@@ -7,8 +7,8 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Seen is what one host knows of one instance.
-type Seen struct {
+// Observation is what one host knows of one instance.
+type Observation struct {
 	Instance document.Instance `json:"instance"`
 	// Status is the answer to the question that was sent last, of those that
 	// have been answered.
@@ -18,23 +18,23 @@
 	Sent time.Time `json:"sent"`
 	// Heard is when the last answer came in.
 	Heard time.Time `json:"heard"`
-	// Waiting is since when the instance has owed an answer; zero while it owes
+	// UnansweredSince is since when the instance has owed an answer; zero while it owes
 	// none. It counts from a question, not from the last answer, so that an
 	// instance that nobody asks isn't taken for dead.
-	Waiting time.Time `json:"waiting"`
+	UnansweredSince time.Time `json:"waiting"`
 	// Latency is the moving average of the time from question to answer.
 	Latency time.Duration `json:"latency"`
-	// Moved is when the last entry of the log was last seen to change.
-	Moved time.Time `json:"moved"`
-	// Raised is when the promised term was last seen to rise.
-	Raised time.Time `json:"raised"`
+	// LogMovedAt is when the last entry of the log was last seen to change.
+	LogMovedAt time.Time `json:"moved"`
+	// TermRaisedAt is when the promised term was last seen to rise.
+	TermRaisedAt time.Time `json:"raised"`
 	// LeavingSince is when the document was first seen to mark it as leaving.
 	LeavingSince time.Time `json:"leaving-since"`
 	// Lag is a moving estimate of how long an entry takes to get here.
 	Lag time.Duration `json:"lag"`
-	// Usual is what entries took to get here of late, taken when they had; zero
+	// UsualLag is what entries took to get here of late, taken when they had; zero
 	// while none has been seen to. A cut doesn't raise it, as it does Lag.
-	Usual time.Duration `json:"usual-lag"`
+	UsualLag time.Duration `json:"usual-lag"`
 	// Refusing is set while the instance's address refuses connections.
 	Refusing bool `json:"refusing"`
 
@@ -42,21 +42,21 @@
 }
 
 // Known reports whether the instance has ever answered.
-func (s Seen) Known() bool {
+func (s Observation) Known() bool {
 	return !s.Sent.IsZero()
 }
 
 // Silent returns how long the instance has owed an answer.
-func (s Seen) Silent(now time.Time) time.Duration {
-	if s.Waiting.IsZero() {
+func (s Observation) Silent(now time.Time) time.Duration {
+	if s.UnansweredSince.IsZero() {
 		return 0
 	}
-	return max(0, now.Sub(s.Waiting))
+	return max(0, now.Sub(s.UnansweredSince))
 }
 
 // Serves reports whether the status is that of a primary that no promotion has
 // fenced: the last entry of a primary is of its own term.
-func (s Seen) Serves() bool {
+func (s Observation) Serves() bool {
 	return s.Known() && s.Status.Role == fleet.RolePrimary && s.Status.Promised == s.Status.Last.Term
 }
 
@@ -64,24 +64,24 @@
 // eight answers decide it, under a second at the pace of a busy group.
 const latencyWeight = 8
 
-func (s *Seen) ask(now time.Time) {
+func (s *Observation) ask(now time.Time) {
 	s.asked++
-	if s.Waiting.IsZero() {
-		s.Waiting = now
+	if s.UnansweredSince.IsZero() {
+		s.UnansweredSince = now
 	}
 }
 
-func (s *Seen) hear(now time.Time) {
+func (s *Observation) hear(now time.Time) {
 	s.asked = max(0, s.asked-1)
 	s.Heard = now
 	s.Refusing = false
-	s.Waiting = time.Time{}
+	s.UnansweredSince = time.Time{}
 	if s.asked > 0 {
-		s.Waiting = now
+		s.UnansweredSince = now
 	}
 }
 
-func (s *Seen) answer(sent, now time.Time, st fleet.Status) {
+func (s *Observation) answer(sent, now time.Time, st fleet.Status) {
 	s.hear(now)
 	took := now.Sub(sent)
 	if s.Latency == 0 {
@@ -91,22 +91,22 @@
 	s.learn(sent, now, st)
 }
 
-func (s *Seen) learn(sent, now time.Time, st fleet.Status) {
+func (s *Observation) learn(sent, now time.Time, st fleet.Status) {
 	// An answer that comes in after that of a later question tells less than
 	// what is known already.
 	if sent.Before(s.Sent) {
 		return
 	}
-	if st.Last != s.Status.Last || s.Moved.IsZero() {
-		s.Moved = now
+	if st.Last != s.Status.Last || s.LogMovedAt.IsZero() {
+		s.LogMovedAt = now
 	}
-	if st.Promised != s.Status.Promised || s.Raised.IsZero() {
-		s.Raised = now
+	if st.Promised != s.Status.Promised || s.TermRaisedAt.IsZero() {
+		s.TermRaisedAt = now
 	}
 	s.Status, s.Sent = st, sent
 }
 
-func (s *Seen) fail(refused bool) {
+func (s *Observation) fail(refused bool) {
 	s.asked = max(0, s.asked-1)
 	s.Refusing = refused
 }
@@ -117,7 +117,7 @@
 
 // copied takes what the entries that have just got here took: a log that ended at
 // last was known to miss something since then.
-func (s *Seen) copied(last fleet.LogPosition, h History) {
+func (s *Observation) copied(last fleet.LogPosition, h History) {
 	// What a change of primary took is no lag of the replica.
 	if s.Status.Last == last || s.Status.Last.Term != last.Term {
 		return
@@ -127,16 +127,16 @@
 		return
 	}
 	took := max(finest, s.Heard.Sub(asOf))
-	if took > s.Usual {
-		s.Usual = took
+	if took > s.UsualLag {
+		s.UsualLag = took
 		return
 	}
-	s.Usual -= (s.Usual - took) / lagWeight
+	s.UsualLag -= (s.UsualLag - took) / lagWeight
 }
 
 // lag takes the age of the first thing that the log is known to miss for the
 // time that an entry takes to get there.
-func (s *Seen) lag(h History) {
+func (s *Observation) lag(h History) {
 	var l time.Duration
 	if asOf, ok := h.Missing(s.Status.Last); ok {
 		l = max(0, s.Sent.Sub(asOf))
--- a/core/group/stranded_test.go
+++ b/core/group/stranded_test.go
@@ -27,7 +27,7 @@
 	w.watch(9 * time.Second)
 	c.Assert(w.judge(other).Cause, qt.Equals, group.CauseNone)
 	// Nobody reaches it: the group must not stay without a primary for ever.
-	c.Assert(w.judge().Cause, qt.Equals, group.CauseAlone)
+	c.Assert(w.judge().Cause, qt.Equals, group.CauseSoleObserver)
 	other.Instances[0].Last.Term = 0 // fenced: its last entry is of an earlier term
 	c.Assert(w.judge(other).Cause, qt.Equals, group.CauseSilent)
 }
--- a/core/group/suspect.go
+++ b/core/group/suspect.go
@@ -19,9 +19,9 @@
 	// RefusedAfter applies when the primary's address refuses connections,
 	// which a slow primary doesn't. It bears a quick restart.
 	RefusedAfter time.Duration
-	// AloneAfter is how long the primary has to be silent when no second host
+	// SoleObserverAfter is how long the primary has to be silent when no second host
 	// or data centre can be asked: long enough for a short cut to heal first.
-	AloneAfter time.Duration
+	SoleObserverAfter time.Duration
 	// OutvoteAfter is how long the primary has to be silent to most of the
 	// group's hosts to be replaced although another host reaches it.
 	OutvoteAfter time.Duration
@@ -44,14 +44,14 @@
 
 // The defaults of Policy.
 const (
-	DefaultSuspectAfter  = 600 * time.Millisecond
-	DefaultRefusedAfter  = 300 * time.Millisecond
-	DefaultAloneAfter    = 5 * time.Second
-	DefaultOutvoteAfter  = 2 * time.Second
-	DefaultStrandedAfter = 500 * time.Millisecond
-	DefaultStallAfter    = 10 * time.Second
-	DefaultLeaveAfter    = 1500 * time.Millisecond
-	DefaultLeaveQuiet    = 300 * time.Millisecond
+	DefaultSuspectAfter      = 600 * time.Millisecond
+	DefaultRefusedAfter      = 300 * time.Millisecond
+	DefaultSoleObserverAfter = 5 * time.Second
+	DefaultOutvoteAfter      = 2 * time.Second
+	DefaultStrandedAfter     = 500 * time.Millisecond
+	DefaultStallAfter        = 10 * time.Second
+	DefaultLeaveAfter        = 1500 * time.Millisecond
+	DefaultLeaveQuiet        = 300 * time.Millisecond
 )
 
 // slowFactor is how many times its usual latency a primary may owe an answer:
@@ -68,8 +68,8 @@
 	return d
 }
 
-// Patience returns how long s may owe an answer before it is suspected.
-func (p Policy) Patience(s Seen) time.Duration {
+// SilenceLimit returns how long s may owe an answer before it is suspected.
+func (p Policy) SilenceLimit(s Observation) time.Duration {
 	d := orDefault(p.SuspectAfter, DefaultSuspectAfter)
 	if s.Refusing {
 		return min(d, orDefault(p.RefusedAfter, DefaultRefusedAfter))
@@ -78,15 +78,15 @@
 }
 
 // Suspects reports whether s has owed an answer for longer than it may.
-func (p Policy) Suspects(s Seen, now time.Time) bool {
-	return s.Silent(now) >= p.Patience(s)
+func (p Policy) Suspects(s Observation, now time.Time) bool {
+	return s.Silent(now) >= p.SilenceLimit(s)
 }
 
-// Alarmed reports whether s has been silent for long enough to ask the other
+// ShouldAskPeers reports whether s has been silent for long enough to ask the other
 // hosts: a quarter of the time after which it is suspected, so that a host which
 // asks an idle group once a second has missed it for RefusedAfter by then.
-func (p Policy) Alarmed(s Seen, now time.Time) bool {
-	return s.Silent(now) >= p.Patience(s)/4
+func (p Policy) ShouldAskPeers(s Observation, now time.Time) bool {
+	return s.Silent(now) >= p.SilenceLimit(s)/4
 }
 
 // Cause is why a promotion is due.
@@ -94,17 +94,17 @@
 
 // The causes of a promotion.
 const (
-	CauseNone     Cause = ""
-	CauseSilent   Cause = "silent"
-	CauseOutvoted Cause = "silent to most hosts"
-	CauseAlone    Cause = "silent, no second view to be had"
-	CauseStranded Cause = "promotion abandoned"
-	CauseStalled  Cause = "cut off from its replicas"
-	CauseLeaving  Cause = "leaving"
+	CauseNone         Cause = ""
+	CauseSilent       Cause = "silent"
+	CauseOutvoted     Cause = "silent to most hosts"
+	CauseSoleObserver Cause = "silent, no second view to be had"
+	CauseStranded     Cause = "promotion abandoned"
+	CauseStalled      Cause = "cut off from its replicas"
+	CauseLeaving      Cause = "leaving"
 )
 
-// Judgement is whether a promotion is due, and why or why not.
-type Judgement struct {
+// Assessment is whether a promotion is due, and why or why not.
+type Assessment struct {
 	Cause  Cause
 	Reason string
 	// Rank is the place of this host among those that answer; zero goes first.
@@ -113,13 +113,13 @@
 	Excluded fleet.Set[fleet.Instance]
 }
 
-// Witness is one host's word on a primary.
-type Witness struct {
+// Observer is one host's word on a primary.
+type Observer struct {
 	Host       fleet.Host
 	DataCentre fleet.DataCentre
 }
 
-// Judge decides whether the primary that t names, or the lack of one, calls for
+// AssessPrimary decides whether the primary that t names, or the lack of one, calls for
 // a promotion. me is this host, views are the other hosts' latest, and order
 // ranks the hosts of the group, the preferred one first.
 //
@@ -129,16 +129,16 @@
 // instances have several, and any host that reaches it stops the promotion,
 // unless most of the group's hosts miss it for OutvoteAfter: a cut may leave the
 // primary with one host that reaches all others, and its word would keep the
-// group without a primary. When no other can be asked, AloneAfter has to pass.
+// group without a primary. When no other can be asked, SoleObserverAfter has to pass.
 //
 // A host that doesn't reach a majority of the instances proposes nothing. It
 // would fence the few that it reaches again and again; once the cut heals, they
 // would refuse the primary that the others have, and force it out.
-func Judge(now time.Time, p Policy, t Table, me Witness, views []View, order []fleet.Host) Judgement {
-	if !t.Quorate(now) {
-		return Judgement{Reason: "a majority of the instances is silent"}
+func AssessPrimary(now time.Time, p Policy, t Snapshot, me Observer, views []View, order []fleet.Host) Assessment {
+	if !t.HasQuorum(now) {
+		return Assessment{Reason: "a majority of the instances is silent"}
 	}
-	if t.Headless() {
+	if t.NoPrimary() {
 		return p.headless(now, t, me, views, order)
 	}
 	s, _ := t.Find(t.Primary)
@@ -150,7 +150,7 @@
 	}
 	v, newer := p.count(me, views, t)
 	if newer != "" {
-		return Judgement{Reason: fmt.Sprintf("host %s knows a later term", newer)}
+		return Assessment{Reason: fmt.Sprintf("host %s knows a later term", newer)}
 	}
 	j := p.silent(s.Silent(now), v, t, len(order))
 	j.Rank = rank(me.Host, order, views)
@@ -159,7 +159,7 @@
 
 // votes are the hosts that miss the primary and those that reach it.
 type votes struct {
-	miss    []Witness
+	miss    []Observer
 	reaches []fleet.Host
 }
 
@@ -169,8 +169,8 @@
 // side: it can confirm nothing of that primary, and were it heard, half a cut, with
 // the primary and one host on one side and the majority on the other, would stop all
 // writes for as long as it lasts.
-func (p Policy) count(me Witness, views []View, t Table) (votes, fleet.Host) {
-	v := votes{miss: []Witness{me}}
+func (p Policy) count(me Observer, views []View, t Snapshot) (votes, fleet.Host) {
+	v := votes{miss: []Observer{me}}
 	for _, w := range views {
 		switch p.opinion(w, t) {
 		case opinionReaches:
@@ -180,7 +180,7 @@
 		case opinionNewer:
 			return v, w.Host
 		case opinionMisses:
-			v.miss = append(v.miss, Witness{Host: w.Host, DataCentre: w.DataCentre})
+			v.miss = append(v.miss, Observer{Host: w.Host, DataCentre: w.DataCentre})
 		case opinionNone:
 		}
 	}
@@ -189,9 +189,9 @@
 
 // silent decides about a primary that is silent to this host, of so many that
 // hold the group.
-func (p Policy) silent(d time.Duration, v votes, t Table, hosts int) Judgement {
+func (p Policy) silent(d time.Duration, v votes, t Snapshot, hosts int) Assessment {
 	both := len(v.miss) > 1 && (centres(v.miss) > 1 || !spread(t))
-	j := Judgement{Reason: fmt.Sprintf("silent for %v, to %d of %d hosts", d.Round(time.Millisecond), len(v.miss), hosts)}
+	j := Assessment{Reason: fmt.Sprintf("silent for %v, to %d of %d hosts", d.Round(time.Millisecond), len(v.miss), hosts)}
 	switch {
 	case both && len(v.reaches) == 0:
 		j.Cause = CauseSilent
@@ -199,8 +199,8 @@
 		j.Cause = CauseOutvoted
 	case len(v.reaches) > 0:
 		j.Reason = fmt.Sprintf("host %s reaches the primary", v.reaches[0])
-	case d >= orDefault(p.AloneAfter, DefaultAloneAfter):
-		j.Cause = CauseAlone
+	case d >= orDefault(p.SoleObserverAfter, DefaultSoleObserverAfter):
+		j.Cause = CauseSoleObserver
 	}
 	return j
 }
@@ -214,7 +214,7 @@
 	opinionNewer   opinion = "newer"
 )
 
-func (p Policy) opinion(v View, t Table) opinion {
+func (p Policy) opinion(v View, t Snapshot) opinion {
 	out := opinionNone
 	for _, i := range v.Instances {
 		if i.Term > t.Term && i.Role == fleet.RolePrimary && i.Last.Term == i.Term && i.Reachable {
@@ -232,7 +232,7 @@
 	return out
 }
 
-func centres(w []Witness) int {
+func centres(w []Observer) int {
 	s := fleet.NewSet[fleet.DataCentre]()
 	for _, e := range w {
 		s.Add(e.DataCentre)
@@ -240,9 +240,9 @@
 	return len(s)
 }
 
-func spread(t Table) bool {
+func spread(t Snapshot) bool {
 	s := fleet.NewSet[fleet.DataCentre]()
-	for _, e := range t.Seen {
+	for _, e := range t.Observations {
 		s.Add(e.Instance.DataCentre)
 	}
 	return len(s) > 1
--- a/core/group/suspect_test.go
+++ b/core/group/suspect_test.go
@@ -74,12 +74,12 @@
 		},
 		{
 			name: "half a cut", silent: 6 * time.Second,
-			views: []group.View{view("h2", "dc-a", time.Second), alone("h1", "dc-b")}, cause: group.CauseAlone,
+			views: []group.View{view("h2", "dc-a", time.Second), alone("h1", "dc-b")}, cause: group.CauseSoleObserver,
 		},
-		{name: "the last host", silent: 6 * time.Second, cause: group.CauseAlone},
+		{name: "the last host", silent: 6 * time.Second, cause: group.CauseSoleObserver},
 		{
 			name: "hosts of one data centre are left", silent: 6 * time.Second,
-			views: []group.View{view("h1", "dc-a", time.Second)}, cause: group.CauseAlone,
+			views: []group.View{view("h1", "dc-a", time.Second)}, cause: group.CauseSoleObserver,
 		},
 	}
 	for _, tt := range tests {
@@ -210,7 +210,7 @@
 	c.Assert(j.Cause, qt.Equals, group.CauseStalled)
 	c.Assert(w.promote(c, j).Target, qt.Not(qt.Equals), fleet.Instance("a"))
 	keep := group.Policy{KeepStalled: true}
-	k := group.Judge(w.now, keep, w.group.Table(w.now), group.Witness{Host: "h0"}, nil, nil)
+	k := group.AssessPrimary(w.now, keep, w.group.Table(w.now), group.Observer{Host: "h0"}, nil, nil)
 	c.Assert(k.Cause, qt.Equals, group.CauseNone)
 }
 
@@ -270,7 +270,7 @@
 	w.dead["a"] = true
 	for range 100 {
 		w.watch(100 * time.Millisecond)
-		w.group.Refuse("a", w.now)
+		w.group.TooManyConnections("a", w.now)
 		c.Assert(w.judge().Cause, qt.Equals, group.CauseNone)
 	}
 }
@@ -289,7 +289,7 @@
 	c.Assert(w.judge(misses).Cause, qt.Equals, group.CauseSilent)
 	w.watch(4 * time.Second)
 	c.Assert(w.judge(reaches).Cause, qt.Equals, group.CauseNone)
-	c.Assert(w.judge().Cause, qt.Equals, group.CauseAlone)
+	c.Assert(w.judge().Cause, qt.Equals, group.CauseSoleObserver)
 }
 
 // Two hosts notice a dead primary at the same time, each before the other is
@@ -299,8 +299,8 @@
 	w := newWatcher()
 	w.watch(time.Second)
 	rank := func(me fleet.Host, views ...group.View) int {
-		self := group.Witness{Host: me, DataCentre: "dc-a"}
-		return group.Judge(w.now, group.Policy{}, w.group.Table(w.now), self, views, []fleet.Host{"h0", "h1", "h2"}).Rank
+		self := group.Observer{Host: me, DataCentre: "dc-a"}
+		return group.AssessPrimary(w.now, group.Policy{}, w.group.Table(w.now), self, views, []fleet.Host{"h0", "h1", "h2"}).Rank
 	}
 	w.leave("a")
 	w.copy()
--- a/core/group/view.go
+++ b/core/group/view.go
@@ -32,12 +32,12 @@
 const viewFresh = 400 * time.Millisecond
 
 // Views returns how this host sees the instances, for another that asks.
-func (p Policy) Views(t Table, now time.Time) []InstanceView {
-	out := make([]InstanceView, 0, len(t.Seen))
-	for _, s := range t.Seen {
+func (p Policy) Views(t Snapshot, now time.Time) []InstanceView {
+	out := make([]InstanceView, 0, len(t.Observations))
+	for _, s := range t.Observations {
 		out = append(out, InstanceView{
 			Instance:  s.Instance.Name,
-			Reachable: s.Known() && now.Sub(s.Sent) < viewFresh && !p.Alarmed(s, now),
+			Reachable: s.Known() && now.Sub(s.Sent) < viewFresh && !p.ShouldAskPeers(s, now),
 			Silent:    s.Silent(now),
 			Term:      s.Status.Promised,
 			Last:      s.Status.Last,
--- a/core/group/watcher_test.go
+++ b/core/group/watcher_test.go
@@ -50,7 +50,7 @@
 		w.group.Tick(w.now)
 		for _, a := range w.answers {
 			if !a.at.After(w.now) {
-				w.group.Answer(a.status.Instance, a.sent, w.now, a.status)
+				w.group.StatusReceived(a.status.Instance, a.sent, w.now, a.status)
 			}
 		}
 		w.answers = pending(w.answers, w.now)
@@ -72,22 +72,22 @@
 
 func (w *watcher) ask() {
 	for _, i := range w.instances {
-		w.group.Ask(i.Name, w.now)
+		w.group.StatusRequested(i.Name, w.now)
 		if !w.dead[i.Name] {
 			w.answers = append(w.answers, late{at: w.now.Add(w.latency[i.Name]), sent: w.now, status: i.Status()})
 		}
 	}
 }
 
-func (w *watcher) judge(views ...group.View) group.Judgement {
-	me := group.Witness{Host: "h0", DataCentre: "dc-a"}
-	return group.Judge(w.now, group.Policy{}, w.group.Table(w.now), me, views, []fleet.Host{"h0", "h1", "h2"})
+func (w *watcher) judge(views ...group.View) group.Assessment {
+	me := group.Observer{Host: "h0", DataCentre: "dc-a"}
+	return group.AssessPrimary(w.now, group.Policy{}, w.group.Table(w.now), me, views, []fleet.Host{"h0", "h1", "h2"})
 }
 
 // near puts all instances into one data centre.
 func (w *watcher) near() {
 	var d []document.Instance
-	for _, s := range w.group.Table(w.now).Seen {
+	for _, s := range w.group.Table(w.now).Observations {
 		s.Instance.DataCentre = "dc-a"
 		d = append(d, s.Instance)
 	}
@@ -97,7 +97,7 @@
 // leave marks an instance as leaving.
 func (w *watcher) leave(n fleet.Instance) {
 	var d []document.Instance
-	for _, s := range w.group.Table(w.now).Seen {
+	for _, s := range w.group.Table(w.now).Observations {
 		s.Instance.Leaving = s.Instance.Leaving || s.Instance.Name == n
 		d = append(d, s.Instance)
 	}
@@ -112,7 +112,7 @@
 }
 
 // promote runs the promotion that j calls for to its end.
-func (w *watcher) promote(c *qt.C, j group.Judgement) *group.Promotion {
+func (w *watcher) promote(c *qt.C, j group.Assessment) *group.Promotion {
 	p, orders := group.Promote(w.now, w.group.Table(w.now), "h0/1/1", j.Excluded)
 	for len(orders) > 0 {
 		o := orders[0]
--- a/core/group/world_check_test.go
+++ b/core/group/world_check_test.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-func (w *world) settleReads(h *host, t group.Table) error {
+func (w *world) settleReads(h *host, t group.Snapshot) error {
 	var left []*read
 	for _, r := range h.reads {
 		if p, ok := t.Prove(); ok {
--- a/core/group/world_test.go
+++ b/core/group/world_test.go
@@ -92,7 +92,7 @@
 	epoch    uint64
 	sent     time.Time
 	answered bool
-	order    group.Order
+	order    group.Command
 	value    string
 	read     *read
 
@@ -214,7 +214,7 @@
 
 func (w *world) askAll(h *host) {
 	for _, i := range w.instances {
-		h.group.Ask(i.Name, w.now)
+		h.group.StatusRequested(i.Name, w.now)
 		w.send(h, i.Name, message{kind: messageStatus})
 	}
 }
@@ -257,7 +257,7 @@
 }
 
 func (w *world) promote(h *host, anew bool) {
-	if !anew && h.promotion != nil && !h.promotion.Over() {
+	if !anew && h.promotion != nil && !h.promotion.Ended() {
 		w.dispatch(h, h.promotion.Tick(w.now))
 		return
 	}
@@ -274,7 +274,7 @@
 	w.dispatch(h, group.Repair(h.group.Table(w.now)))
 }
 
-func (w *world) dispatch(h *host, orders []group.Order) {
+func (w *world) dispatch(h *host, orders []group.Command) {
 	for _, o := range orders {
 		w.send(h, o.Instance, message{kind: messageOrder, order: o})
 	}
@@ -322,7 +322,7 @@
 	return m
 }
 
-func (w *world) carryOut(i *grouptest.Instance, o group.Order) error {
+func (w *world) carryOut(i *grouptest.Instance, o group.Command) error {
 	switch o.Act {
 	case group.ActFence:
 		return i.Fence(o.Term, o.Proposer)
@@ -341,7 +341,7 @@
 	}
 	switch m.kind {
 	case messageStatus:
-		h.group.Answer(m.link.instance, w.stamp(m.sent, w.now), w.now, m.status)
+		h.group.StatusReceived(m.link.instance, w.stamp(m.sent, w.now), w.now, m.status)
 	case messageWrite:
 		if m.err == nil {
 			h.writes = append(h.writes, write{point: m.point, value: m.value, since: w.now})
--- a/core/leader/decide.go
+++ b/core/leader/decide.go
@@ -20,7 +20,7 @@
 	Leads bool
 	Term  fleet.Term
 	// UnreachableFrom is how many hosts can't reach it, this one included, and ReachableFrom how many
-	// have heard it although others can't. Doubted is for how long anyone has doubted it.
+	// have heard it although others can't. UnreachableFor is for how long any host has failed to reach it.
 	UnreachableFrom, ReachableFrom int
 	UnreachableFor                 time.Duration
 	// Received is the end of its log, as it was last heard.
--- a/core/place/choose.go
+++ b/core/place/choose.go
@@ -74,7 +74,7 @@
 // to be faster by patience to get it, so that reads don't take the primary's
 // slots for a short lag. An instance that leaves gets nothing. Long work is kept
 // off the last free slot, or one long report would hold up every short request.
-func Choose(now time.Time, f Facts, t group.Table, l Loads) Choice {
+func Choose(now time.Time, f Facts, t group.Snapshot, l Loads) Choice {
 	if f.Intent != exchange.IntentRead {
 		return write(now, f, t, l)
 	}
@@ -102,14 +102,14 @@
 // waits for the next primary is merely late.
 const suspicious = 150 * time.Millisecond
 
-func write(now time.Time, f Facts, t group.Table, l Loads) Choice {
+func write(now time.Time, f Facts, t group.Snapshot, l Loads) Choice {
 	s, ok := t.Find(t.Primary)
 	switch u := l.Instances[t.Primary]; {
 	case !ok:
 		return Choice{Action: ActionWait, Reason: "no primary is known"}
 	case s.Silent(now) > suspicious:
 		return Choice{Action: ActionWait, Instance: t.Primary, Reason: "the primary is silent"}
-	case !t.Quorate(now):
+	case !t.HasQuorum(now):
 		// A data centre that is cut off with the old primary: the write would run
 		// and end as unknown. Unsent, it can be refused as not run.
 		return Choice{Action: ActionWait, Instance: t.Primary, Reason: "no majority of the instances answers"}
@@ -150,9 +150,9 @@
 // milliseconds, which people don't notice, and leaves the primary to the writes.
 const patience = 25 * time.Millisecond
 
-func best(now time.Time, f Facts, t group.Table, l Loads) (option, bool) {
+func best(now time.Time, f Facts, t group.Snapshot, l Loads) (option, bool) {
 	var out option
-	for _, s := range t.Seen {
+	for _, s := range t.Observations {
 		o, ok := consider(now, f, t, l, s)
 		if ok && (out.instance == "" || o.expect < out.expect) {
 			out = o
@@ -161,7 +161,7 @@
 	return out, out.instance != ""
 }
 
-func consider(now time.Time, f Facts, t group.Table, l Loads, s group.Seen) (option, bool) {
+func consider(now time.Time, f Facts, t group.Snapshot, l Loads, s group.Observation) (option, bool) {
 	n := s.Instance.Name
 	if !s.Known() || s.Instance.Leaving || f.Tried.Has(n) || s.Silent(now) > suspicious {
 		return option{}, false
@@ -189,13 +189,13 @@
 // it does by what is known already, or the statuses to come will prove it, for
 // which a majority has to answer. A primary that has been replaced on the other
 // side of a cut never covers a token of a later term.
-func primaryServes(now time.Time, f Facts, t group.Table, s group.Seen) bool {
+func primaryServes(now time.Time, f Facts, t group.Snapshot, s group.Observation) bool {
 	a := session.Answer{Position: s.Status.Last, Role: fleet.RolePrimary}
 	if f.Need.Satisfied(a, now, t) {
 		return true
 	}
 	after, ok := f.Need.After.Get()
-	return t.Quorate(now) && (!ok || after.Term <= t.Term)
+	return t.HasQuorum(now) && (!ok || after.Term <= t.Term)
 }
 
 // latencyFloor keeps an instance that nothing is measured of from looking free
@@ -209,7 +209,7 @@
 
 // catchUp sets how long a replica takes to satisfy the read: its usual lag, as
 // the entry may have been written just now.
-func (o *option) catchUp(now time.Time, f Facts, t group.Table, s group.Seen) bool {
+func (o *option) catchUp(now time.Time, f Facts, t group.Snapshot, s group.Observation) bool {
 	a := session.Answer{Position: s.Status.Last, Role: fleet.RoleReplica}
 	if f.Need.Satisfied(a, now.Add(min(ageMargin, f.Need.MaxAge/2)), t) {
 		return true
--- a/core/place/cutoff_test.go
+++ b/core/place/cutoff_test.go
@@ -20,13 +20,13 @@
 	for range 40 {
 		s.now = s.now.Add(50 * time.Millisecond)
 		for _, n := range names {
-			s.group.Ask(n, s.now)
+			s.group.StatusRequested(n, s.now)
 			if left.Has(n) {
 				r, f := fleet.RoleReplica, fleet.Instance("a")
 				if n == "a" {
 					r, f = fleet.RolePrimary, ""
 				}
-				s.group.Answer(n, s.now, s.now, fleet.Status{Instance: n, Promised: 1, Role: r, Last: s.last(n), Follows: f})
+				s.group.StatusReceived(n, s.now, s.now, fleet.Status{Instance: n, Promised: 1, Role: r, Last: s.last(n), Follows: f})
 			}
 		}
 	}
--- a/core/place/guard_test.go
+++ b/core/place/guard_test.go
@@ -40,12 +40,12 @@
 	c := qt.New(t)
 	s := settled()
 	for _, n := range names {
-		s.group.Ask(n, s.now)
+		s.group.StatusRequested(n, s.now)
 	}
 	s.now = s.now.Add(200 * time.Millisecond)
 	c.Assert(s.choose(aged).Action, qt.Equals, place.ActionWait)
 	c.Assert(s.choose(place.Facts{Intent: exchange.IntentWrite}).Action, qt.Equals, place.ActionWait)
-	s.group.Answer("b", s.now, s.now, fleet.Status{
+	s.group.StatusReceived("b", s.now, s.now, fleet.Status{
 		Instance: "b", Promised: 1, Role: fleet.RoleReplica, Last: s.last("b"), Follows: "a",
 	})
 	c.Assert(s.choose(aged).Instance, qt.Equals, fleet.Instance("b"))
@@ -56,11 +56,11 @@
 func TestWritesWaitWhileNoMajorityAnswers(t *testing.T) {
 	c := qt.New(t)
 	s := settled()
-	s.group.Ask("b", s.now)
-	s.group.Ask("c", s.now)
+	s.group.StatusRequested("b", s.now)
+	s.group.StatusRequested("c", s.now)
 	s.now = s.now.Add(400 * time.Millisecond)
 	c.Assert(s.choose(place.Facts{Intent: exchange.IntentWrite}).Action, qt.Equals, place.ActionWait)
-	s.group.Answer("b", s.now, s.now, fleet.Status{
+	s.group.StatusReceived("b", s.now, s.now, fleet.Status{
 		Instance: "b", Promised: 1, Role: fleet.RoleReplica, Last: s.last("b"), Follows: "a",
 	})
 	c.Assert(s.choose(place.Facts{Intent: exchange.IntentWrite}).Action, qt.Equals, place.ActionRun)
--- a/core/place/sim_test.go
+++ b/core/place/sim_test.go
@@ -119,8 +119,8 @@
 		if n == "a" {
 			st.Role, st.Follows = fleet.RolePrimary, ""
 		}
-		s.group.Ask(n, s.now)
-		s.group.Answer(n, s.now, s.now, st)
+		s.group.StatusRequested(n, s.now)
+		s.group.StatusReceived(n, s.now, s.now, st)
 	}
 }
 
--- a/core/session/session.go
+++ b/core/session/session.go
@@ -75,7 +75,7 @@
 // or because a replaced primary on the far side of a cut still answers. The
 // point comes with the answer itself, so that a status of the instance that was
 // read earlier, later or on another connection can't vouch for it.
-func (n Need) Satisfied(a Answer, at time.Time, t group.Table) bool {
+func (n Need) Satisfied(a Answer, at time.Time, t group.Snapshot) bool {
 	if after, ok := n.After.Get(); ok && !a.Position.Covers(after) && !n.current(a) {
 		return false
 	}
@@ -102,7 +102,7 @@
 //
 // A primary's answer is only known to be younger than its read. One that came
 // in late is older than the latest proof, which so can't vouch for it.
-func (n Need) reflects(a Answer, since time.Time, t group.Table) bool {
+func (n Need) reflects(a Answer, since time.Time, t group.Snapshot) bool {
 	if asOf, ok := t.History.Since(a.Position); ok && !asOf.Before(since) {
 		return true
 	}
--- a/core/session/session_test.go
+++ b/core/session/session_test.go
@@ -27,15 +27,15 @@
 // table returns what a host knows that has asked a, the primary, and b at the
 // given times, each answered 20 ms later with the log growing by one entry a
 // millisecond.
-func table(asked ...int) group.Table {
+func table(asked ...int) group.Snapshot {
 	var g group.Group
 	g.Configure(start, []document.Instance{{Name: "a"}, {Name: "b"}, {Name: "c"}})
 	var now time.Time
 	for _, ms := range asked {
 		now = at(ms + 20)
 		last := point(1, fleet.LogIndex(ms))
-		g.Answer("b", at(ms), now, fleet.Status{Instance: "b", Promised: 1, Role: fleet.RoleReplica, Last: last})
-		g.Answer("a", at(ms), now, fleet.Status{Instance: "a", Promised: 1, Role: fleet.RolePrimary, Last: last})
+		g.StatusReceived("b", at(ms), now, fleet.Status{Instance: "b", Promised: 1, Role: fleet.RoleReplica, Last: last})
+		g.StatusReceived("a", at(ms), now, fleet.Status{Instance: "a", Promised: 1, Role: fleet.RolePrimary, Last: last})
 	}
 	return g.Table(now)
 }
@@ -110,7 +110,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			var g group.Table
+			var g group.Snapshot
 			if len(tt.asked) > 0 {
 				g = table(tt.asked...)
 			}
@@ -128,10 +128,10 @@
 	c.Assert(n.Resolve(group.Proof{Position: point(1, 29), AsOf: at(29)}).Latest(), qt.IsTrue)
 	n = n.Resolve(group.Proof{Position: point(1, 30), AsOf: at(30)})
 	c.Assert(n.Latest(), qt.IsFalse)
-	c.Assert(n.Satisfied(session.Answer{Position: point(1, 30), Role: fleet.RoleReplica}, at(40), group.Table{}), qt.IsTrue)
-	c.Assert(n.Satisfied(session.Answer{Position: point(1, 29), Role: fleet.RoleReplica}, at(40), group.Table{}), qt.IsFalse)
+	c.Assert(n.Satisfied(session.Answer{Position: point(1, 30), Role: fleet.RoleReplica}, at(40), group.Snapshot{}), qt.IsTrue)
+	c.Assert(n.Satisfied(session.Answer{Position: point(1, 29), Role: fleet.RoleReplica}, at(40), group.Snapshot{}), qt.IsFalse)
 	// The read reached the primary before the question for the point did.
-	c.Assert(n.Satisfied(session.Answer{Position: point(1, 29), Role: fleet.RolePrimary}, at(40), group.Table{}), qt.IsTrue)
+	c.Assert(n.Satisfied(session.Answer{Position: point(1, 29), Role: fleet.RolePrimary}, at(40), group.Snapshot{}), qt.IsTrue)
 }
 
 func TestNeedShownIsKept(t *testing.T) {
--- a/io/holder/dispatch.go
+++ b/io/holder/dispatch.go
@@ -63,7 +63,7 @@
 // was given: several times what a busy instance takes for one.
 const silentRead = 300 * time.Millisecond
 
-func (g *groupRun) lost(w *work, t group.Table) bool {
+func (g *groupRun) lost(w *work, t group.Snapshot) bool {
 	n := w.choice.Instance
 	if w.choice.Role == fleet.RolePrimary && t.Term > w.term && t.Primary != n {
 		return true
@@ -83,8 +83,8 @@
 // The load is a data centre that was cut off with a minority of the instances:
 // every write would wait for its deadline and hold a place in the queue that
 // reads could use. The refusal is true, since nothing waiting has been sent.
-func (g *groupRun) refuseAbsent(t group.Table) {
-	if t.Primary != "" && t.Quorate(g.now) {
+func (g *groupRun) refuseAbsent(t group.Snapshot) {
+	if t.Primary != "" && t.HasQuorum(g.now) {
 		g.absent = time.Time{}
 		return
 	}
@@ -116,7 +116,7 @@
 // statement that frees the slots which others wait for may be its COMMIT. Were
 // it to wait for a slot, two statements that wait inside the database for that
 // transaction's locks would hold both slots until their deadlines.
-func (g *groupRun) fits(i admit.Item, t group.Table, l place.Loads) bool {
+func (g *groupRun) fits(i admit.Item, t group.Snapshot, l place.Loads) bool {
 	w := g.works[i.Key]
 	if w.pin != nil {
 		w.choice = place.Choice{Action: place.ActionRun, Instance: w.pin.instance, Role: w.pin.role}
--- a/io/steward/change.go
+++ b/io/steward/change.go
@@ -53,8 +53,8 @@
 	err    error
 }
 
-func (s *Steward) failOver(now time.Time, t group.Table) {
-	if len(t.Seen) == 0 {
+func (s *Steward) failOver(now time.Time, t group.Snapshot) {
+	if len(t.Observations) == 0 {
 		return
 	}
 	c := &s.change
@@ -65,7 +65,7 @@
 	}
 	s.askViews(now, t)
 	s.repair(now, t)
-	j := group.Judge(now, s.policy, t, s.witness(), s.freshViews(now), s.order())
+	j := group.AssessPrimary(now, s.policy, t, s.witness(), s.freshViews(now), s.order())
 	c.why = j.Reason
 	if j.Cause != c.cause {
 		c.cause = j.Cause
@@ -82,7 +82,7 @@
 	return time.Duration(s.rand.Int64N(int64(d) + 1))
 }
 
-func (s *Steward) promote(now time.Time, t group.Table, j group.Judgement) {
+func (s *Steward) promote(now time.Time, t group.Snapshot, j group.Assessment) {
 	c := &s.change
 	c.attempts++
 	proposer := group.Proposer(s.cfg.Host, s.cfg.Epoch, c.attempts)
@@ -92,7 +92,7 @@
 	s.dispatch(orders)
 }
 
-func (s *Steward) dispatch(orders []group.Order) {
+func (s *Steward) dispatch(orders []group.Command) {
 	for _, o := range orders {
 		l := s.links[o.Instance]
 		if l != nil {
@@ -104,7 +104,7 @@
 func (s *Steward) takeDone(d done) {
 	now := s.cfg.Now()
 	if d.err == nil {
-		s.group.Learn(d.order.Instance, d.sent, d.at, d.status)
+		s.group.CommandAnswered(d.order.Instance, d.sent, d.at, d.status)
 	} else {
 		s.log.Warn("order failed", zap.String("act", string(d.order.Act)),
 			zap.String("instance", string(d.order.Instance)), zap.Error(d.err))
@@ -120,7 +120,7 @@
 func (s *Steward) conclude(now time.Time) {
 	c := &s.change
 	p := c.promotion
-	if !p.Over() {
+	if !p.Ended() {
 		return
 	}
 	c.promotion, c.cause = nil, group.CauseNone
@@ -140,11 +140,11 @@
 
 // repair has the replicas follow the primary. The preferred holder does it at
 // once and the others later, since one suffices and the order is idempotent.
-func (s *Steward) repair(now time.Time, t group.Table) {
+func (s *Steward) repair(now time.Time, t group.Snapshot) {
 	c := &s.change
-	orders := slices.DeleteFunc(group.Repair(t), func(o group.Order) bool {
+	orders := slices.DeleteFunc(group.Repair(t), func(o group.Command) bool {
 		i, _ := t.Find(o.Instance)
-		return s.policy.Alarmed(i, now)
+		return s.policy.ShouldAskPeers(i, now)
 	})
 	if len(orders) == 0 {
 		c.fixed = time.Time{}
@@ -160,8 +160,8 @@
 	s.dispatch(orders)
 }
 
-func (s *Steward) witness() group.Witness {
-	return group.Witness{Host: s.cfg.Host, DataCentre: s.cfg.DataCentre}
+func (s *Steward) witness() group.Observer {
+	return group.Observer{Host: s.cfg.Host, DataCentre: s.cfg.DataCentre}
 }
 
 func (s *Steward) order() []fleet.Host {
@@ -177,8 +177,8 @@
 }
 
 // askViews asks the other holders while the primary is silent.
-func (s *Steward) askViews(now time.Time, t group.Table) {
-	if s.cfg.Views == nil || !s.policy.Troubled(t, now) || now.Sub(s.change.asked) < viewPace {
+func (s *Steward) askViews(now time.Time, t group.Snapshot) {
+	if s.cfg.AskView == nil || !s.policy.NeedsFastPolling(t, now) || now.Sub(s.change.asked) < viewPace {
 		return
 	}
 	s.change.asked = now
@@ -195,7 +195,7 @@
 	ctx, cancel := context.WithTimeout(s.ctx, viewLife)
 	defer cancel()
 	at := s.cfg.Now()
-	r, err := s.cfg.Views(ctx, m)
+	r, err := s.cfg.AskView(ctx, m)
 	v := viewed{member: m, err: err}
 	if err == nil {
 		v.view = fromProto(m.Host, at, r)
--- a/io/steward/cluster_test.go
+++ b/io/steward/cluster_test.go
@@ -132,7 +132,7 @@
 		Document: c.document,
 		Dial:     func(i document.Instance) control.Client { return c.dial(m.Host, i.Name) },
 		Holders:  c.holders,
-		Views:    func(ctx context.Context, o fleet.Member) (*hostpb.ViewResponse, error) { return c.view(ctx, m, o) },
+		AskView:  func(ctx context.Context, o fleet.Member) (*hostpb.ViewResponse, error) { return c.view(ctx, m, o) },
 		Journal:  j,
 		Now:      now,
 	})
--- a/io/steward/ledger_test.go
+++ b/io/steward/ledger_test.go
@@ -94,7 +94,7 @@
 		Document: func() *document.Document { return &f.doc },
 		Dial:     func(i document.Instance) control.Client { return f.dial(m.Host, i) },
 		Holders:  func() []fleet.Member { return f.hosts },
-		Views: func(ctx context.Context, o fleet.Member) (*hostpb.ViewResponse, error) {
+		AskView: func(ctx context.Context, o fleet.Member) (*hostpb.ViewResponse, error) {
 			return f.view(ctx, m.Host, o.Host)
 		},
 	})
--- a/io/steward/link.go
+++ b/io/steward/link.go
@@ -25,7 +25,7 @@
 	client  control.Client
 	cancel  context.CancelFunc
 	asks    ring.Ring[struct{}]
-	orders  ring.Ring[group.Order]
+	orders  ring.Ring[group.Command]
 
 	// out is how many questions are under way, asked when the last was sent.
 	out   int
@@ -53,7 +53,7 @@
 
 // done is an instance's answer to an order.
 type done struct {
-	order  group.Order
+	order  group.Command
 	sent   time.Time
 	at     time.Time
 	status fleet.Status
@@ -68,7 +68,7 @@
 		client:  s.cfg.Dial(i),
 		cancel:  cancel,
 		asks:    ring.New[struct{}](askers),
-		orders:  ring.New[group.Order](orderRoom),
+		orders:  ring.New[group.Command](orderRoom),
 	}
 	for range askers {
 		s.duties.Go(func() { s.runAsker(ctx, l) })
@@ -101,13 +101,13 @@
 }
 
 func (s *Steward) runOrders(ctx context.Context, l *link) {
-	l.orders.Each(ctx, func(o group.Order) {
+	l.orders.Each(ctx, func(o group.Command) {
 		d := s.carryOut(ctx, l, o)
 		_ = s.events.Put(ctx, event{done: &d}) // as above
 	})
 }
 
-func (s *Steward) carryOut(ctx context.Context, l *link, o group.Order) done {
+func (s *Steward) carryOut(ctx context.Context, l *link, o group.Command) done {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	d := done{order: o, sent: s.cfg.Now()}
@@ -130,11 +130,11 @@
 	a.link.out--
 	switch {
 	case a.err == nil:
-		s.group.Answer(a.link.name, a.sent, a.at, a.status)
+		s.group.StatusReceived(a.link.name, a.sent, a.at, a.status)
 	case full(a.err):
-		s.group.Refuse(a.link.name, a.at)
+		s.group.TooManyConnections(a.link.name, a.at)
 	default:
-		s.group.Fail(a.link.name, errors.Is(a.err, syscall.ECONNREFUSED))
+		s.group.StatusFailed(a.link.name, errors.Is(a.err, syscall.ECONNREFUSED))
 	}
 }
 
@@ -164,9 +164,9 @@
 // promotion takes two.
 const leads = 2
 
-func (s *Steward) ask(now time.Time, t group.Table) {
+func (s *Steward) ask(now time.Time, t group.Snapshot) {
 	pace, rest := s.pace(now, t)
-	for _, i := range t.Seen {
+	for _, i := range t.Observations {
 		l := s.links[i.Instance.Name]
 		every := rest
 		if i.Instance.Name == t.Primary || t.Primary == "" {
@@ -181,13 +181,13 @@
 		l.out++
 		l.asked = now
 		s.metrics.questions.Inc()
-		s.group.Ask(l.name, now)
+		s.group.StatusRequested(l.name, now)
 	}
 }
 
 // pace returns how often to ask the primary and the others.
-func (s *Steward) pace(now time.Time, t group.Table) (time.Duration, time.Duration) {
-	troubled := s.policy.Troubled(t, now) || s.change.promotion != nil
+func (s *Steward) pace(now time.Time, t group.Snapshot) (time.Duration, time.Duration) {
+	troubled := s.policy.NeedsFastPolling(t, now) || s.change.promotion != nil
 	if troubled || now.UnixNano() < s.alert.Load() || now.Sub(s.busy) < busyAfter {
 		return paceBusy, paceBusy
 	}
--- a/io/steward/state.go
+++ b/io/steward/state.go
@@ -10,8 +10,8 @@
 
 // State is what a state dump shows of a group.
 type State struct {
-	Service fleet.Service `json:"service"`
-	Table   group.Table   `json:"table"`
+	Service fleet.Service  `json:"service"`
+	Table   group.Snapshot `json:"table"`
 	// Waiting is how many requests wait for a proof.
 	Waiting int `json:"waiting"`
 	// Promotion is the change of primary under way.
@@ -25,7 +25,7 @@
 	return *s.state.Load()
 }
 
-func (s *Steward) snapshot(t group.Table) *State {
+func (s *Steward) snapshot(t group.Snapshot) *State {
 	out := &State{Service: s.cfg.Service, Table: t, Waiting: len(s.waiting), Reason: s.change.why}
 	if p := s.change.promotion; p != nil {
 		c := *p
--- a/io/steward/steward.go
+++ b/io/steward/steward.go
@@ -37,8 +37,8 @@
 	// Holders returns the hosts that hold the group's connections, this one
 	// among them, the preferred one first.
 	Holders func() []fleet.Member
-	// Views asks another holder how it sees the group.
-	Views func(ctx context.Context, m fleet.Member) (*hostpb.ViewResponse, error)
+	// AskView asks another holder how it sees the group.
+	AskView func(ctx context.Context, m fleet.Member) (*hostpb.ViewResponse, error)
 	// Policy bounds when the primary counts as failed.
 	Policy group.Policy
 	// Now returns the time with its monotonic part; time.Now if nil.
@@ -56,7 +56,7 @@
 	log     *zap.Logger
 	metrics metrics
 	events  ring.Ring[event]
-	table   atomic.Pointer[group.Table]
+	table   atomic.Pointer[group.Snapshot]
 	state   atomic.Pointer[State]
 	watched atomic.Pointer[func()]
 	// alert is until when, in Unix nanoseconds, another host's suspicion has
@@ -116,13 +116,13 @@
 	s.links = make(map[fleet.Instance]*link)
 	s.views = make(map[fleet.Host]group.View)
 	s.viewing = fleet.NewSet[fleet.Host]()
-	s.table.Store(&group.Table{})
+	s.table.Store(&group.Snapshot{})
 	s.state.Store(&State{Service: cfg.Service})
 	return s
 }
 
 // Table returns what is known of the group. It doesn't wait.
-func (s *Steward) Table() group.Table {
+func (s *Steward) Table() group.Snapshot {
 	return *s.table.Load()
 }
 
@@ -202,7 +202,7 @@
 		s.adopt(now)
 	}
 	t := s.publish(now)
-	if t.Quorate(now) || s.quorate.IsZero() {
+	if t.HasQuorum(now) || s.quorate.IsZero() {
 		s.quorate = now
 	}
 	s.settle(now, t)
@@ -225,7 +225,7 @@
 // three groups.
 const tick = 25 * time.Millisecond
 
-func (s *Steward) publish(now time.Time) group.Table {
+func (s *Steward) publish(now time.Time) group.Snapshot {
 	t := s.group.Table(now)
 	changed := differs(*s.table.Load(), t)
 	s.table.Store(&t)
@@ -236,12 +236,12 @@
 	return t
 }
 
-func differs(a, b group.Table) bool {
-	if a.Primary != b.Primary || a.Term != b.Term || len(a.Seen) != len(b.Seen) {
+func differs(a, b group.Snapshot) bool {
+	if a.Primary != b.Primary || a.Term != b.Term || len(a.Observations) != len(b.Observations) {
 		return true
 	}
-	for i := range a.Seen {
-		if a.Seen[i].Status != b.Seen[i].Status {
+	for i := range a.Observations {
+		if a.Observations[i].Status != b.Observations[i].Status {
 			return true
 		}
 	}
--- a/io/steward/steward_test.go
+++ b/io/steward/steward_test.go
@@ -263,7 +263,7 @@
 	c.ready(t)
 	all := c.hosts
 	c.set(func() { c.hosts = all[:2] })
-	eventually(t, func() bool { return len(c.stewards["h2"].Table().Seen) == 0 })
+	eventually(t, func() bool { return len(c.stewards["h2"].Table().Observations) == 0 })
 	c.set(func() { q.Check(c.closed["h2"], qt.Equals, 3) })
 	_, err := c.fresh("h2", 10*time.Second)
 	q.Assert(err, qt.IsNil)
--- a/io/steward/wait.go
+++ b/io/steward/wait.go
@@ -90,7 +90,7 @@
 // one, and the new primary need not have the write.
 const proofLife = group.DefaultRefusedAfter * 4 / 5
 
-func (s *Steward) settle(now time.Time, t group.Table) {
+func (s *Steward) settle(now time.Time, t group.Snapshot) {
 	proof, proven := t.Prove()
 	left := s.waiting[:0]
 	for _, w := range s.waiting {
@@ -105,7 +105,7 @@
 	}
 }
 
-func (s *Steward) settleOne(now time.Time, t group.Table, w *waiter, proof group.Proof, proven bool) bool {
+func (s *Steward) settleOne(now time.Time, t group.Snapshot, w *waiter, proof group.Proof, proven bool) bool {
 	if w.fresh != nil && proven && !proof.AsOf.Before(w.since) {
 		w.fresh(proof, nil)
 		return true
@@ -124,7 +124,7 @@
 	return true
 }
 
-func (s *Steward) settleWrite(now time.Time, t group.Table, w *waiter) bool {
+func (s *Steward) settleWrite(now time.Time, t group.Snapshot, w *waiter) bool {
 	since := w.since
 	if w.rule == document.AcknowledgePrimary {
 		// The time of the step may be long past, since the host may be paused
@@ -160,7 +160,7 @@
 )
 
 // demands reports whether a waiting request needs the instance to be asked.
-func (s *Steward) demands(now time.Time, l *link, i group.Seen) bool {
+func (s *Steward) demands(now time.Time, l *link, i group.Observation) bool {
 	for _, w := range s.waiting {
 		if now.Sub(w.demand) > w.pause(now) {
 			w.demand = now
@@ -177,12 +177,12 @@
 }
 
 // has reports whether the instance's status tells all that w needs of it.
-func (w *waiter) has(i group.Seen) bool {
+func (w *waiter) has(i group.Observation) bool {
 	if w.confirm == nil {
 		return !i.Sent.Before(w.since)
 	}
 	ok := group.Unfenced(i, w.point.Term, w.since)
-	return ok && (w.rule == document.AcknowledgePrimary || group.Holds(i, w.point))
+	return ok && (w.rule == document.AcknowledgePrimary || group.HasEntry(i, w.point))
 }
 
 func (s *Steward) drainWaiters() {
