--- a/core/allot/allot_test.go
+++ b/core/allot/allot_test.go
@@ -157,7 +157,7 @@
 			last = max(last, after)
 			w.After(after, func() { h.Adopt(d) })
 		}
-		changed, settled := w.Now(), w.Now()+last+allot.Overdue
+		changed, settled := w.Now(), w.Now()+last+allot.GrantCountedFor
 		w.Run(settled + 15*time.Second)
 		checkChange(t, w, allot.Share{Rate: r1, Burst: b1}, allot.Share{Rate: r2, Burst: b2}, changed, settled)
 	})
--- a/core/allot/clock.go
+++ b/core/allot/clock.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Clock gives a host's time so that nothing outlives its end while the host is
+// SuspendAwareClock gives a host's time so that nothing outlives its end while the host is
 // suspended. The monotonic clock of a suspended machine stands still, so on
 // waking it would spend tokens that have expired elsewhere, or grant by a lease
-// that has ended; its wall clock has moved on by then. The zero Clock works, and
+// that has ended; its wall clock has moved on by then. The zero SuspendAwareClock works, and
 // is safe for concurrent use.
-type Clock struct {
+type SuspendAwareClock struct {
 	// ahead is the furthest that the wall clock was ever ahead of the monotonic
 	// one. It never falls, so the time never goes back when the wall clock does.
 	ahead atomic.Int64
 }
 
-// Late returns the time since the process started, by which all that this host
+// Elapsed returns the time since the process started, by which all that this host
 // has to end is ended: the monotonic time, plus what the wall clock was ever
 // ahead of it. Both readings are since the process started. A wall clock that is
 // put forward ends things early, which is safe.
-func (c *Clock) Late(wall, monotonic time.Duration) time.Duration {
+func (c *SuspendAwareClock) Elapsed(wall, monotonic time.Duration) time.Duration {
 	ahead := int64(wall - monotonic)
 	for {
 		v := c.ahead.Load()
--- a/core/allot/guard_test.go
+++ b/core/allot/guard_test.go
@@ -15,7 +15,7 @@
 func filled(s allot.Share) (*allot.Home, time.Time) {
 	h := &allot.Home{}
 	h.Start(epoch, 1, s, 0, 0)
-	return h, epoch.Add(allot.Overdue + time.Hour)
+	return h, epoch.Add(allot.GrantCountedFor + time.Hour)
 }
 
 // A host is replaced in the middle of a rush. The new home knows nothing of what
@@ -25,8 +25,8 @@
 	c := qt.New(t)
 	h := &allot.Home{}
 	h.Start(epoch, 1, allot.Share{Rate: 10, Burst: 50}, 0, 0)
-	c.Assert(h.Ask(epoch.Add(allot.Overdue), allot.Ask{Urgent: 1}).Tokens, qt.Equals, allot.Tokens(0))
-	c.Assert(h.Ask(epoch.Add(allot.Overdue+150*time.Millisecond), allot.Ask{Urgent: 5}).Tokens, qt.Equals, allot.Tokens(1))
+	c.Assert(h.Ask(epoch.Add(allot.GrantCountedFor), allot.Ask{Urgent: 1}).Tokens, qt.Equals, allot.Tokens(0))
+	c.Assert(h.Ask(epoch.Add(allot.GrantCountedFor+150*time.Millisecond), allot.Ask{Urgent: 5}).Tokens, qt.Equals, allot.Tokens(1))
 }
 
 // A spender's clock is slow. By its own count a grant has some time left when
@@ -35,9 +35,9 @@
 	c := qt.New(t)
 	h, now := filled(allot.Share{Rate: 1000, Burst: 10})
 	c.Assert(h.Ask(now, allot.Ask{Urgent: 10}).Tokens, qt.Equals, allot.Tokens(10))
-	slow := now.Add(allot.Lifetime + allot.Lifetime/5)
+	slow := now.Add(allot.GrantLifetime + allot.GrantLifetime/5)
 	c.Assert(h.Ask(slow, allot.Ask{Urgent: 10}).Tokens, qt.Equals, allot.Tokens(0))
-	c.Assert(h.Ask(now.Add(2*allot.Overdue), allot.Ask{Urgent: 10}).Tokens, qt.Equals, allot.Tokens(10))
+	c.Assert(h.Ask(now.Add(2*allot.GrantCountedFor), allot.Ask{Urgent: 10}).Tokens, qt.Equals, allot.Tokens(10))
 }
 
 // A host is paused with tokens in hand and wakes when the home has long granted
@@ -48,9 +48,9 @@
 	a := allot.Ask{Urgent: 5}
 	answered := epoch.Add(50 * time.Millisecond)
 	s.Granted(answered, epoch, dc, a, allot.Grant{ID: 1, Tokens: 5})
-	c.Assert(s.Take(epoch.Add(allot.Lifetime-1), 1), qt.IsTrue)
-	c.Assert(s.Take(epoch.Add(allot.Lifetime), 1), qt.IsFalse)
-	c.Assert(s.TakeAny(epoch.Add(allot.Lifetime), 1), qt.IsFalse)
+	c.Assert(s.Take(epoch.Add(allot.GrantLifetime-1), 1), qt.IsTrue)
+	c.Assert(s.Take(epoch.Add(allot.GrantLifetime), 1), qt.IsFalse)
+	c.Assert(s.TakeAny(epoch.Add(allot.GrantLifetime), 1), qt.IsFalse)
 }
 
 // Two reports of one grant overtake each other on the way.
@@ -67,8 +67,8 @@
 
 func TestOlderDocumentChangesNothing(t *testing.T) {
 	h, now := filled(allot.Share{Rate: 10, Burst: 10})
-	h.Change(now, 3, allot.Share{Rate: 1, Burst: 2}, true)
-	h.Change(now, 2, allot.Share{Rate: 10, Burst: 10}, true)
+	h.SetShare(now, 3, allot.Share{Rate: 1, Burst: 2}, true)
+	h.SetShare(now, 2, allot.Share{Rate: 10, Burst: 10}, true)
 	now = now.Add(time.Minute)
 	qt.Assert(t, h.Ask(now, allot.Ask{Urgent: 10}).Tokens, qt.Equals, allot.Tokens(2))
 }
@@ -78,10 +78,10 @@
 func TestGainFromAShorterListWaits(t *testing.T) {
 	c := qt.New(t)
 	h, now := filled(allot.Share{Rate: 10, Burst: 10})
-	h.Change(now, 2, allot.Share{Rate: 15, Burst: 15}, false)
-	now = now.Add(allot.ListHold - 1)
+	h.SetShare(now, 2, allot.Share{Rate: 15, Burst: 15}, false)
+	now = now.Add(allot.ShareIncreaseDelay - 1)
 	c.Assert(h.Ask(now, allot.Ask{Urgent: 20}).Tokens, qt.Equals, allot.Tokens(10))
-	now = now.Add(allot.ListHold)
+	now = now.Add(allot.ShareIncreaseDelay)
 	c.Assert(h.Ask(now, allot.Ask{Urgent: 20}).Tokens, qt.Equals, allot.Tokens(15))
 }
 
@@ -89,14 +89,14 @@
 	holder  = allot.Process{Host: "o1", Epoch: 1}
 	witness = allot.Process{Host: "o2", Epoch: 7}
 	next    = allot.Process{Host: "o3", Epoch: 1}
-	record  = allot.SeatRecord{Holder: holder, Lease: 11, Witness: witness, Tenure: 4}
+	record  = allot.OwnershipRecord{Holder: holder, Lease: 11, Witness: witness, Tenure: 4}
 )
 
 // held returns a seat whose lease ends a second after epoch.
-func held() *allot.Seat {
-	s := &allot.Seat{}
-	s.Won(record)
-	s.Leased(11, epoch.Add(time.Second))
+func held() *allot.Ownership {
+	s := &allot.Ownership{}
+	s.Acquired(record)
+	s.LeaseRenewed(11, epoch.Add(time.Second))
 	return s
 }
 
@@ -104,10 +104,10 @@
 func TestHolderStopsWithItsLease(t *testing.T) {
 	c := qt.New(t)
 	s := held()
-	c.Assert(s.May(epoch), qt.IsTrue)
-	c.Assert(s.May(epoch.Add(time.Second)), qt.IsFalse)
-	s.Leased(12, epoch.Add(time.Hour))
-	c.Assert(s.May(epoch.Add(time.Second)), qt.IsFalse, qt.Commentf("a later lease doesn't renew the seat"))
+	c.Assert(s.CanGrant(epoch), qt.IsTrue)
+	c.Assert(s.CanGrant(epoch.Add(time.Second)), qt.IsFalse)
+	s.LeaseRenewed(12, epoch.Add(time.Hour))
+	c.Assert(s.CanGrant(epoch.Add(time.Second)), qt.IsFalse, qt.Commentf("a later lease doesn't renew the seat"))
 }
 
 // The store is down, so the lease has ended; the witness's consent keeps the home
@@ -117,11 +117,11 @@
 	s := held()
 	at := epoch.Add(time.Minute)
 	s.Consented(at, witness, 4)
-	c.Assert(s.May(at.Add(allot.ConsentFor-1)), qt.IsTrue)
-	c.Assert(s.May(at.Add(allot.ConsentFor)), qt.IsFalse)
-	end := epoch.Add(time.Second + allot.HoldFor)
+	c.Assert(s.CanGrant(at.Add(allot.ConsentLifetime-1)), qt.IsTrue)
+	c.Assert(s.CanGrant(at.Add(allot.ConsentLifetime)), qt.IsFalse)
+	end := epoch.Add(time.Second + allot.MaxTenureWithoutStore)
 	s.Consented(end, witness, 4)
-	c.Assert(s.May(end), qt.IsFalse)
+	c.Assert(s.CanGrant(end), qt.IsFalse)
 }
 
 // A witness restarts, and has forgotten that it promised a successor to consent
@@ -131,12 +131,12 @@
 	at := epoch.Add(time.Minute)
 	s := held()
 	s.Consented(at, allot.Process{Host: "o2", Epoch: 8}, 4)
-	c.Assert(s.May(at), qt.IsFalse)
+	c.Assert(s.CanGrant(at), qt.IsFalse)
 	s.Consented(at, witness, 3)
-	c.Assert(s.May(at), qt.IsFalse)
-	s.Swapping()
+	c.Assert(s.CanGrant(at), qt.IsFalse)
+	s.BeginSwap()
 	s.Consented(at, witness, 4)
-	c.Assert(s.May(at), qt.IsFalse, qt.Commentf("the store may name another witness by now"))
+	c.Assert(s.CanGrant(at), qt.IsFalse, qt.Commentf("the store may name another witness by now"))
 }
 
 // A holder lives on in a store outage by the consent of its witness. When the
@@ -147,10 +147,10 @@
 	w := allot.Witness{Since: epoch.Add(-time.Hour)}
 	c.Assert(w.Consent(epoch, dc, 4), qt.IsTrue)
 	var n allot.Claim
-	c.Assert(n.Next(epoch, next, 21, record, true), qt.Equals, allot.StepRest)
+	c.Assert(n.Next(epoch, next, 21, record, true), qt.Equals, allot.StepIdle)
 	c.Assert(n.Next(epoch, next, 21, record, false), qt.Equals, allot.StepWithdraw)
 	d := w.Withdraw(epoch, dc, 4)
-	c.Assert(d > allot.ConsentFor, qt.IsTrue)
+	c.Assert(d > allot.ConsentLifetime, qt.IsTrue)
 	c.Assert(w.Consent(epoch, dc, 4), qt.IsFalse)
 	n.Withdrawn(epoch, record, d)
 	c.Assert(n.Next(epoch.Add(d-1), next, 21, record, false), qt.Equals, allot.StepWait)
@@ -161,7 +161,7 @@
 // A witness that has just restarted may have consented shortly before.
 func TestRestartedWitnessCountsItsFormerConsent(t *testing.T) {
 	w := allot.Witness{Since: epoch}
-	qt.Assert(t, w.Withdraw(epoch.Add(100*time.Millisecond), dc, 4) > allot.ConsentFor, qt.IsTrue)
+	qt.Assert(t, w.Withdraw(epoch.Add(100*time.Millisecond), dc, 4) > allot.ConsentLifetime, qt.IsTrue)
 }
 
 // Holder and witness are lost together, with the rack that both stood in.
@@ -169,8 +169,8 @@
 	c := qt.New(t)
 	var n allot.Claim
 	c.Assert(n.Next(epoch, next, 21, record, false), qt.Equals, allot.StepWithdraw)
-	c.Assert(n.Next(epoch.Add(allot.HoldFor), next, 21, record, false), qt.Equals, allot.StepWithdraw)
-	c.Assert(n.Next(epoch.Add(2*allot.HoldFor), next, 21, record, false), qt.Equals, allot.StepSwap)
+	c.Assert(n.Next(epoch.Add(allot.MaxTenureWithoutStore), next, 21, record, false), qt.Equals, allot.StepWithdraw)
+	c.Assert(n.Next(epoch.Add(2*allot.MaxTenureWithoutStore), next, 21, record, false), qt.Equals, allot.StepSwap)
 }
 
 // A holder's lease lapses, a successor sees it, and the holder registers anew
@@ -190,7 +190,7 @@
 	var n allot.Claim
 	n.Tried(record)
 	c.Assert(n.Next(epoch, holder, 11, record, true), qt.Equals, allot.StepSwap)
-	landed := allot.Taken(record, holder, 11, next)
+	landed := allot.ClaimedRecord(record, holder, 11, next)
 	c.Assert(n.Next(epoch, holder, 11, landed, true), qt.Equals, allot.StepAdopt)
 }
 
@@ -199,9 +199,9 @@
 func TestTenureBetweenIsNoticed(t *testing.T) {
 	c := qt.New(t)
 	s := held()
-	own := allot.Taken(record, holder, 12, witness)
-	c.Assert(s.Won(own), qt.IsTrue)
-	c.Assert(s.Won(allot.Taken(allot.Taken(own, next, 21, witness), holder, 13, witness)), qt.IsFalse)
+	own := allot.ClaimedRecord(record, holder, 12, witness)
+	c.Assert(s.Acquired(own), qt.IsTrue)
+	c.Assert(s.Acquired(allot.ClaimedRecord(allot.ClaimedRecord(own, next, 21, witness), holder, 13, witness)), qt.IsFalse)
 }
 
 // A virtual machine is suspended for a minute. Its monotonic clock stood still, so
@@ -209,10 +209,10 @@
 // must not make anything fresh again.
 func TestSuspendedHostCountsTheSuspension(t *testing.T) {
 	c := qt.New(t)
-	var k allot.Clock
-	c.Assert(k.Late(time.Second, time.Second), qt.Equals, time.Second)
-	c.Assert(k.Late(62*time.Second, 2*time.Second), qt.Equals, 62*time.Second)
-	c.Assert(k.Late(3*time.Second, 3*time.Second), qt.Equals, 63*time.Second)
+	var k allot.SuspendAwareClock
+	c.Assert(k.Elapsed(time.Second, time.Second), qt.Equals, time.Second)
+	c.Assert(k.Elapsed(62*time.Second, 2*time.Second), qt.Equals, 62*time.Second)
+	c.Assert(k.Elapsed(3*time.Second, 3*time.Second), qt.Equals, 63*time.Second)
 }
 
 func BenchmarkTake(b *testing.B) {
--- a/core/allot/home.go
+++ b/core/allot/home.go
@@ -26,7 +26,7 @@
 	Spender fleet.Host
 	// Urgent is what exchanges wait for now.
 	Urgent Tokens
-	// Ahead is what is likely to be wanted within half a Lifetime.
+	// Ahead is what is likely to be wanted within half a GrantLifetime.
 	Ahead   Tokens
 	Reports []Report
 }
@@ -75,9 +75,9 @@
 // none, unless more is known, as a host that restarts or takes over knows nothing
 // of what was spent before; what a predecessor had left when it gave the seat up;
 // or the whole burst where nobody can have granted before. The caller has made
-// sure that no predecessor grants any more (see Seat), and uses a level once.
+// sure that no predecessor grants any more (see Ownership), and uses a level once.
 func (h *Home) Start(now time.Time, v document.Version, s Share, id GrantID, level float64) {
-	*h = Home{version: v, share: s, later: s, from: now.Add(Overdue), lastID: id, started: true}
+	*h = Home{version: v, share: s, later: s, from: now.Add(GrantCountedFor), lastID: id, started: true}
 	h.level = max(0, min(level, s.Burst))
 }
 
@@ -86,23 +86,23 @@
 	return h.started
 }
 
-// ListHold is how long a share that has grown because the list of data centres
+// ShareIncreaseDelay is how long a share that has grown because the list of data centres
 // has changed isn't used yet: a document takes some seconds to all hosts that can
 // be reached, and until then another data centre may go by its old, larger share.
-const ListHold = 30 * time.Second
+const ShareIncreaseDelay = 30 * time.Second
 
-// Change puts the share of a newer version of the document in effect. A lower
+// SetShare puts the share of a newer version of the document in effect. A lower
 // burst takes effect at once on what is not granted yet; a higher one has to
 // grow. An older version changes nothing. If the list of data centres is not the
-// same, what the share gains waits for ListHold.
-func (h *Home) Change(now time.Time, v document.Version, s Share, sameList bool) {
+// same, what the share gains waits for ShareIncreaseDelay.
+func (h *Home) SetShare(now time.Time, v document.Version, s Share, sameList bool) {
 	if v <= h.version {
 		return
 	}
 	h.grow(now)
 	h.version, h.later = v, s
 	if !sameList {
-		h.listed = now.Add(ListHold)
+		h.listed = now.Add(ShareIncreaseDelay)
 	}
 	h.settle(now)
 	h.trim()
@@ -152,7 +152,7 @@
 // host's stock doesn't make another one refuse.
 func (h *Home) Ask(now time.Time, a Ask) Grant {
 	if !h.started {
-		return Grant{RetryAfter: Lifetime}
+		return Grant{RetryAfter: GrantLifetime}
 	}
 	h.grow(now)
 	h.report(a.Reports)
@@ -169,7 +169,7 @@
 	h.lastID++
 	g.ID = h.lastID
 	h.level -= float64(n)
-	h.out = append(h.out, outstanding{id: g.ID, to: a.Spender, left: n, until: now.Add(Overdue)})
+	h.out = append(h.out, outstanding{id: g.ID, to: a.Spender, left: n, until: now.Add(GrantCountedFor)})
 	return g
 }
 
--- a/core/allot/seat.go
+++ b/core/allot/seat.go
@@ -6,8 +6,8 @@
 	"skylarkdeal/core/fleet"
 )
 
-// SeatName names the right to be the home of one shard in one data centre.
-type SeatName string
+// OwnershipID names the right to be the home of one shard in one data centre.
+type OwnershipID string
 
 // Process is one run of the program on a host. A host that restarts is another
 // process: it has forgotten all that the former one granted or promised.
@@ -16,9 +16,9 @@
 	Epoch uint64     `json:"epoch"`
 }
 
-// SeatRecord is what the platform's store says of a seat. It is only changed by
+// OwnershipRecord is what the platform's store says of a seat. It is only changed by
 // compare-and-swap and stays when its holder's lease ends.
-type SeatRecord struct {
+type OwnershipRecord struct {
 	// Holder has the seat; the zero Process when it was given back.
 	Holder Process `json:"holder"`
 	// Lease names the registration in the store under which the holder took the
@@ -33,24 +33,24 @@
 }
 
 const (
-	// ConsentFor is how long a witness's consent lasts, by the holder's clock
+	// ConsentLifetime is how long a witness's consent lasts, by the holder's clock
 	// from the moment at which it asked: three rounds of looking after the seats,
 	// so that two lost answers stop nothing. It bounds how long a successor waits.
-	ConsentFor = 2 * time.Second
+	ConsentLifetime = 2 * time.Second
 	// consentOverdue is how long the witness counts it, for clocks that run
-	// apart as in Overdue.
-	consentOverdue = ConsentFor + ConsentFor*3/10
-	// HoldFor bounds a tenure without the store, so that a seat whose holder and
+	// apart as in GrantCountedFor.
+	consentOverdue = ConsentLifetime + ConsentLifetime*3/10
+	// MaxTenureWithoutStore bounds a tenure without the store, so that a seat whose holder and
 	// witness are both lost isn't closed for good. It is above the platform's
 	// outages of some ten minutes.
-	HoldFor = 20 * time.Minute
+	MaxTenureWithoutStore = 20 * time.Minute
 	// holdOverdue is what a successor waits when the witness is lost too.
-	holdOverdue = HoldFor + HoldFor*3/10
+	holdOverdue = MaxTenureWithoutStore + MaxTenureWithoutStore*3/10
 )
 
-// Seat is a holder's view of its own tenure. The zero Seat is not held.
+// Ownership is a holder's view of its own tenure. The zero Ownership is not held.
 //
-// A home must never grant while another one does, nor within Overdue of it. In
+// A home must never grant while another one does, nor within GrantCountedFor of it. In
 // ordinary times the holder's lease in the store proves that: nobody takes a
 // seat whose holder's lease stands. When the store is down the lease runs out
 // for all, and with it every home would fall silent for the whole outage; then
@@ -58,58 +58,58 @@
 // successor must have that consent withdrawn first, and the record names whom to
 // ask. A majority of the data centre's hosts would do as well where there are
 // many, but of two hosts, today's size, a majority is lost with either.
-type Seat struct {
-	record  SeatRecord
+type Ownership struct {
+	record  OwnershipRecord
 	held    bool
 	leased  time.Time
 	consent time.Time
 	hold    time.Time
 }
 
-// Won notes that the record is in effect as the store answered it, with this
+// Acquired notes that the record is in effect as the store answered it, with this
 // process as its holder. It reports whether the process had the seat's former
 // tenure too, so that no other host can have granted in between.
-func (s *Seat) Won(r SeatRecord) (kept bool) {
+func (s *Ownership) Acquired(r OwnershipRecord) (kept bool) {
 	kept = s.held && s.record.Tenure+1 >= r.Tenure
-	*s = Seat{record: r, held: true}
+	*s = Ownership{record: r, held: true}
 	return kept
 }
 
-// Swapping notes that the holder is about to swap its own record, for a new
-// lease or another witness. Until Won the store may hold either record, and a
+// BeginSwap notes that the holder is about to swap its own record, for a new
+// lease or another witness. Until Acquired the store may hold either record, and a
 // successor asks only the witness of the one that it reads; so the consent of
 // the old one counts no more.
-func (s *Seat) Swapping() {
+func (s *Ownership) BeginSwap() {
 	s.record.Witness = Process{}
 	s.consent = time.Time{}
 }
 
 // Lost ends the tenure: the record is another's, or may be.
-func (s *Seat) Lost() {
-	*s = Seat{}
+func (s *Ownership) Lost() {
+	*s = Ownership{}
 }
 
-// Leased notes that the lease of that name stands in the store until the given
+// LeaseRenewed notes that the lease of that name stands in the store until the given
 // time of the holder's own clock, counted from when the renewal was sent. A lease
 // other than the record's proves nothing.
-func (s *Seat) Leased(lease uint64, until time.Time) {
+func (s *Ownership) LeaseRenewed(lease uint64, until time.Time) {
 	if lease == s.record.Lease && until.After(s.leased) {
 		s.leased = until
-		s.hold = until.Add(HoldFor)
+		s.hold = until.Add(MaxTenureWithoutStore)
 	}
 }
 
 // Consented notes that the witness consented to an ask that was sent at sent.
-func (s *Seat) Consented(sent time.Time, by Process, tenure uint64) {
+func (s *Ownership) Consented(sent time.Time, by Process, tenure uint64) {
 	if by == s.record.Witness && tenure == s.record.Tenure {
-		s.consent = sent.Add(ConsentFor)
+		s.consent = sent.Add(ConsentLifetime)
 	}
 }
 
-// May reports whether the holder may grant at now. It is asked anew for each
+// CanGrant reports whether the holder may grant at now. It is asked anew for each
 // grant, with a clock that has counted any pause, so that a holder that wakes
 // stops before it does anything.
-func (s *Seat) May(now time.Time) bool {
+func (s *Ownership) CanGrant(now time.Time) bool {
 	if !s.held {
 		return false
 	}
@@ -117,17 +117,17 @@
 }
 
 // Held reports whether the process takes itself for the holder.
-func (s *Seat) Held() bool {
+func (s *Ownership) Held() bool {
 	return s.held
 }
 
 // Record returns the record of the tenure.
-func (s *Seat) Record() SeatRecord {
+func (s *Ownership) Record() OwnershipRecord {
 	return s.record
 }
 
 // Until returns the end of the lease, from which on consent is needed.
-func (s *Seat) Until() time.Time {
+func (s *Ownership) Until() time.Time {
 	return s.leased
 }
 
@@ -137,7 +137,7 @@
 	// consented until shortly before.
 	Since time.Time
 
-	seats map[SeatName]consent
+	seats map[OwnershipID]consent
 }
 
 type consent struct {
@@ -146,8 +146,8 @@
 	until     time.Time
 }
 
-// Consent answers a holder: whether its tenure may go on for ConsentFor.
-func (w *Witness) Consent(now time.Time, n SeatName, tenure uint64) bool {
+// Consent answers a holder: whether its tenure may go on for ConsentLifetime.
+func (w *Witness) Consent(now time.Time, n OwnershipID, tenure uint64) bool {
 	c := w.seats[n]
 	if tenure <= c.withdrawn {
 		return false
@@ -160,16 +160,16 @@
 // Withdraw answers a successor, which has seen in the store that the holder's
 // lease is gone. No tenure up to the given one gets consent any more; the answer
 // is how long the last consent may still stand.
-func (w *Witness) Withdraw(now time.Time, n SeatName, tenure uint64) time.Duration {
+func (w *Witness) Withdraw(now time.Time, n OwnershipID, tenure uint64) time.Duration {
 	c := w.seats[n]
 	c.withdrawn = max(c.withdrawn, tenure)
 	w.set(n, c)
 	return max(0, c.until.Sub(now), w.Since.Add(consentOverdue).Sub(now))
 }
 
-func (w *Witness) set(n SeatName, c consent) {
+func (w *Witness) set(n OwnershipID, c consent) {
 	if w.seats == nil {
-		w.seats = map[SeatName]consent{}
+		w.seats = map[OwnershipID]consent{}
 	}
 	w.seats[n] = c
 }
@@ -179,8 +179,8 @@
 
 // The steps of a claim.
 const (
-	// StepRest: another host holds the seat.
-	StepRest Step = "rest"
+	// StepIdle: another host holds the seat.
+	StepIdle Step = "rest"
 	// StepAdopt: the record already names this process, so the answer to its
 	// swap was lost.
 	StepAdopt Step = "adopt"
@@ -194,7 +194,7 @@
 
 // Claim is a host's attempt to take a seat. The zero Claim works.
 type Claim struct {
-	record SeatRecord
+	record OwnershipRecord
 	// gone is when the claimant first saw that the holder's lease was gone.
 	gone time.Time
 	// free is when the withdrawn consent has ended; zero before the answer.
@@ -206,7 +206,7 @@
 
 // Next returns the step to take after the store has shown the record r, and
 // whether the lease of its holder stands.
-func (c *Claim) Next(now time.Time, self Process, lease uint64, r SeatRecord, leased bool) Step {
+func (c *Claim) Next(now time.Time, self Process, lease uint64, r OwnershipRecord, leased bool) Step {
 	if r.Holder == self && r.Lease == lease {
 		return c.own(r)
 	}
@@ -215,7 +215,7 @@
 	}
 	if leased {
 		*c = Claim{tried: c.tried}
-		return StepRest
+		return StepIdle
 	}
 	if c.record != r || c.gone.IsZero() {
 		*c = Claim{record: r, gone: now, tried: c.tried}
@@ -234,7 +234,7 @@
 
 // Tried notes that a swap of the record r has been sent, be it for another
 // witness, another lease, or to give the seat up.
-func (c *Claim) Tried(r SeatRecord) {
+func (c *Claim) Tried(r OwnershipRecord) {
 	c.tried = r.Tenure + 1
 }
 
@@ -242,7 +242,7 @@
 // of it may be under way, the record may be replaced at any moment by one with
 // another witness or none; only a later swap, which that one then fails after,
 // makes sure.
-func (c *Claim) own(r SeatRecord) Step {
+func (c *Claim) own(r OwnershipRecord) Step {
 	if c.tried == r.Tenure+1 {
 		return StepSwap
 	}
@@ -250,13 +250,13 @@
 }
 
 // Withdrawn takes in the witness's answer to StepWithdraw for record r.
-func (c *Claim) Withdrawn(now time.Time, r SeatRecord, remains time.Duration) {
+func (c *Claim) Withdrawn(now time.Time, r OwnershipRecord, remains time.Duration) {
 	if c.record == r {
 		c.free = now.Add(remains)
 	}
 }
 
-// Taken returns the record that a claim puts in the place of r.
-func Taken(r SeatRecord, self Process, lease uint64, witness Process) SeatRecord {
-	return SeatRecord{Holder: self, Lease: lease, Witness: witness, Tenure: r.Tenure + 1}
+// ClaimedRecord returns the record that a claim puts in the place of r.
+func ClaimedRecord(r OwnershipRecord, self Process, lease uint64, witness Process) OwnershipRecord {
+	return OwnershipRecord{Holder: self, Lease: lease, Witness: witness, Tenure: r.Tenure + 1}
 }
--- a/core/allot/share.go
+++ b/core/allot/share.go
@@ -29,16 +29,16 @@
 // Tokens is a number of tokens; one token admits one exchange.
 type Tokens int64
 
-// Lifetime is how long a grant may be spent, by the spender's clock from the
+// GrantLifetime is how long a grant may be spent, by the spender's clock from the
 // moment at which it sent its request. The home loses the growth of a full
 // bucket for so long after a grant whose use it hasn't heard of, so it is short
 // against burst/rate; and long against a round trip of some milliseconds.
-const Lifetime = 200 * time.Millisecond
+const GrantLifetime = 200 * time.Millisecond
 
-// Overdue is how long the home counts a grant by its own clock. It covers clocks
+// GrantCountedFor is how long the home counts a grant by its own clock. It covers clocks
 // that run apart by up to a tenth: the spender's may be slow by one part in ten
 // and the home's fast by as much.
-const Overdue = Lifetime + Lifetime*3/10
+const GrantCountedFor = GrantLifetime + GrantLifetime*3/10
 
 // ShareOf returns the part of rate and burst that belongs to the data centre d
 // out of all, for the account a of service s.
--- a/core/allot/spender.go
+++ b/core/allot/spender.go
@@ -35,14 +35,14 @@
 	stocked time.Time
 }
 
-// Wanted is an Ask with the data centre whose home is to be asked.
-type Wanted struct {
+// HomeRequest is an Ask with the data centre whose home is to be asked.
+type HomeRequest struct {
 	DataCentre fleet.DataCentre
 	Ask        Ask
 }
 
 // stockEvery is the least time between two asks for stock alone.
-const stockEvery = Lifetime / 4
+const stockEvery = GrantLifetime / 4
 
 // hedgeAfter is how long an answer is waited for before another home is asked as
 // well: some round trips between data centres. A home that has just died then
@@ -120,17 +120,17 @@
 // The home of the own data centre comes first, being nearest; another is asked
 // only when those before have said that they have nothing, one at a time, so
 // that a small want doesn't empty several buckets. Stock is laid in for half a
-// Lifetime of recent demand, from the own data centre only: a busy account costs
+// GrantLifetime of recent demand, from the own data centre only: a busy account costs
 // a host twenty messages a second at any rate, an idle one none.
-func (s *Spender) Next(now time.Time, waiting Tokens, all []fleet.DataCentre) (Wanted, bool) {
+func (s *Spender) Next(now time.Time, waiting Tokens, all []fleet.DataCentre) (HomeRequest, bool) {
 	s.tidy(now)
 	s.demand.update(now, s.taken.Load())
 	have := s.Left(now)
-	stockUp := Tokens(math.Ceil(s.demand.perSecond * (Lifetime / 2).Seconds()))
+	stockUp := Tokens(math.Ceil(s.demand.perSecond * (GrantLifetime / 2).Seconds()))
 	order := s.order(all)
 	if waiting <= have {
 		if have >= (stockUp+1)/2 || s.demand.idle(now) || now.Sub(s.stocked) < stockEvery {
-			return Wanted{}, false
+			return HomeRequest{}, false
 		}
 		s.stocked = now
 		order = order[:min(1, len(order))]
@@ -139,7 +139,7 @@
 		o := s.source(d)
 		if flight := now.Sub(o.asked); !o.asked.IsZero() && flight < AskTimeout {
 			if flight < hedgeAfter {
-				return Wanted{}, false
+				return HomeRequest{}, false
 			}
 			continue
 		}
@@ -151,9 +151,9 @@
 			Spender: s.Host, Urgent: max(0, waiting-have),
 			Ahead: max(0, stockUp-have), Reports: s.reports(d),
 		}
-		return Wanted{DataCentre: d, Ask: a}, true
+		return HomeRequest{DataCentre: d, Ask: a}, true
 	}
-	return Wanted{}, false
+	return HomeRequest{}, false
 }
 
 // order returns the data centres in the order in which they are asked.
@@ -193,7 +193,7 @@
 	if g.Tokens <= 0 {
 		return
 	}
-	c := &stock{from: d, id: g.ID, until: sent.Add(Lifetime)}
+	c := &stock{from: d, id: g.ID, until: sent.Add(GrantLifetime)}
 	c.left.Store(int64(g.Tokens))
 	s.stocks = append(s.stocks, c)
 	if cur := s.current.Load(); cur == nil || cur.left.Load() == 0 || !now.Before(cur.until) {
@@ -245,17 +245,17 @@
 	return n
 }
 
-// Leave ends all stocks and returns, for each home, the ask that gives the
+// ReturnAll ends all stocks and returns, for each home, the ask that gives the
 // unspent tokens back, so that the hosts that stay can use them at once.
-func (s *Spender) Leave() []Wanted {
+func (s *Spender) ReturnAll() []HomeRequest {
 	for _, c := range s.stocks {
 		s.settle(c)
 	}
 	s.stocks = nil
-	var out []Wanted
+	var out []HomeRequest
 	for d, o := range s.sources {
 		if len(o.reports) > 0 {
-			out = append(out, Wanted{DataCentre: d, Ask: Ask{Spender: s.Host, Reports: o.reports}})
+			out = append(out, HomeRequest{DataCentre: d, Ask: Ask{Spender: s.Host, Reports: o.reports}})
 			o.reports = nil
 		}
 	}
--- a/internal/experiment/rates/host.go
+++ b/internal/experiment/rates/host.go
@@ -32,7 +32,7 @@
 	doc     *document.Document
 	spender allot.Spender
 	home    allot.Home
-	seat    allot.Seat
+	seat    allot.Ownership
 	claim   allot.Claim
 	witness allot.Witness
 	lease   roster.Lease
@@ -73,7 +73,7 @@
 // boot starts a new process on the host, which has forgotten everything.
 func (h *Host) boot() {
 	h.process = allot.Process{Host: h.name, Epoch: h.process.Epoch + 1}
-	h.doc, h.home, h.seat, h.claim = h.w.Doc, allot.Home{}, allot.Seat{}, allot.Claim{}
+	h.doc, h.home, h.seat, h.claim = h.w.Doc, allot.Home{}, allot.Ownership{}, allot.Claim{}
 	h.witness = allot.Witness{Since: h.early()}
 	h.spender = allot.Spender{Host: h.name, Own: h.dc}
 	h.lease, h.waiters, h.dead = roster.Lease{}, nil, 0
@@ -127,6 +127,6 @@
 	same := slices.Equal(h.doc.DataCentres, d.DataCentres)
 	h.doc = d
 	if h.home.Started() {
-		h.home.Change(h.early(), d.Version, h.share(), same)
+		h.home.SetShare(h.early(), d.Version, h.share(), same)
 	}
 }
--- a/internal/experiment/rates/seats.go
+++ b/internal/experiment/rates/seats.go
@@ -8,7 +8,7 @@
 	"skylarkdeal/core/roster"
 )
 
-func (h *Host) seatName() allot.SeatName { return allot.SeatName(h.dc) }
+func (h *Host) seatName() allot.OwnershipID { return allot.OwnershipID(h.dc) }
 
 // renew keeps the lease, as io/members does.
 func (h *Host) renew() {
@@ -65,7 +65,7 @@
 	}
 	h.round++
 	if h.seat.Held() {
-		h.seat.Leased(h.lease.Name, h.lease.Until())
+		h.seat.LeaseRenewed(h.lease.Name, h.lease.Until())
 		if now.After(h.seat.Until().Add(-1500 * time.Millisecond)) {
 			h.askConsent()
 		}
@@ -113,7 +113,7 @@
 
 func (h *Host) tryClaim() {
 	type read struct {
-		r      allot.SeatRecord
+		r      allot.OwnershipRecord
 		stands bool
 		left   float64
 	}
@@ -125,16 +125,16 @@
 	}, func(v read) {
 		l := h.lease.Name
 		switch h.claim.Next(h.early(), h.process, l, v.r, v.stands) {
-		case allot.StepRest:
+		case allot.StepIdle:
 			h.lose()
 		case allot.StepAdopt:
 			if h.w.Chaos && h.w.random.IntN(2) > 0 {
-				h.swap(v.r, allot.Taken(v.r, h.process, l, h.pickWitness()), v.left)
+				h.swap(v.r, allot.ClaimedRecord(v.r, h.process, l, h.pickWitness()), v.left)
 				return
 			}
 			h.won(v.r, 0)
 		case allot.StepSwap:
-			h.swap(v.r, allot.Taken(v.r, h.process, l, h.pickWitness()), v.left)
+			h.swap(v.r, allot.ClaimedRecord(v.r, h.process, l, h.pickWitness()), v.left)
 		case allot.StepWithdraw:
 			h.withdraw(v.r)
 		case allot.StepWait:
@@ -155,8 +155,8 @@
 	return there[h.w.random.IntN(len(there))].process
 }
 
-func (h *Host) swap(old, next allot.SeatRecord, left float64) {
-	h.seat.Swapping()
+func (h *Host) swap(old, next allot.OwnershipRecord, left float64) {
+	h.seat.BeginSwap()
 	h.claim.Tried(old)
 	h.roundEnds = h.w.now + 4*time.Second
 	seatCall(h, func() bool {
@@ -173,7 +173,7 @@
 	})
 }
 
-func (h *Host) withdraw(r allot.SeatRecord) {
+func (h *Host) withdraw(r allot.OwnershipRecord) {
 	to := h.w.find(r.Witness.Host)
 	if to == nil {
 		return
@@ -183,16 +183,16 @@
 	}, func(d time.Duration) { h.claim.Withdrawn(h.early(), r, d) })
 }
 
-func (h *Host) won(r allot.SeatRecord, left float64) {
+func (h *Host) won(r allot.OwnershipRecord, left float64) {
 	h.claim = allot.Claim{}
-	if !h.seat.Won(r) {
+	if !h.seat.Acquired(r) {
 		h.home.Start(h.early(), h.doc.Version, h.share(), allot.GrantID(h.w.random.Uint64()), h.first(r, left))
 	}
-	h.seat.Leased(h.lease.Name, h.lease.Until())
+	h.seat.LeaseRenewed(h.lease.Name, h.lease.Until())
 }
 
 // first returns the level that a home starts with.
-func (h *Host) first(r allot.SeatRecord, left float64) float64 {
+func (h *Host) first(r allot.OwnershipRecord, left float64) float64 {
 	if r.Tenure == 1 {
 		return h.share().Burst
 	}
@@ -211,7 +211,7 @@
 		if now.Holder != r.Holder || now.Tenure != r.Tenure {
 			return false
 		}
-		h.w.seats[h.seatName()] = allot.SeatRecord{Tenure: r.Tenure + 1}
+		h.w.seats[h.seatName()] = allot.OwnershipRecord{Tenure: r.Tenure + 1}
 		h.w.left[h.seatName()] = left
 		return true
 	}, func(bool) {})
--- a/internal/experiment/rates/spend.go
+++ b/internal/experiment/rates/spend.go
@@ -15,7 +15,7 @@
 }
 
 func (h *Host) answer(a allot.Ask) answer {
-	if !h.seat.May(h.late()) {
+	if !h.seat.CanGrant(h.late()) {
 		return answer{}
 	}
 	return answer{h.home.Ask(h.early(), a), true}
@@ -90,7 +90,7 @@
 	return h.doc.DataCentres
 }
 
-func (h *Host) ask(w allot.Wanted, sent time.Time) {
+func (h *Host) ask(w allot.HomeRequest, sent time.Time) {
 	to := h.targetIn(w.DataCentre)
 	settled := false
 	back := func(a answer) {
--- a/internal/experiment/rates/world.go
+++ b/internal/experiment/rates/world.go
@@ -32,10 +32,10 @@
 	// Doc is the document that a new process starts with.
 	Doc *document.Document
 
-	seats map[allot.SeatName]allot.SeatRecord
+	seats map[allot.OwnershipID]allot.OwnershipRecord
 	// left is what homes that gave their seat up had, as io/grants writes it
 	// into the record.
-	left      map[allot.SeatName]float64
+	left      map[allot.OwnershipID]float64
 	leases    map[fleet.Host]lease
 	cut       map[fleet.DataCentre]time.Duration
 	storeDown time.Duration
@@ -63,7 +63,7 @@
 func NewWorld(seed uint64, perDC int, dcs []fleet.DataCentre, rate, burst float64) *World {
 	w := &World{
 		random: rand.New(rand.NewPCG(seed, 1)), lend: true, dcs: dcs,
-		seats: map[allot.SeatName]allot.SeatRecord{}, left: map[allot.SeatName]float64{}, leases: map[fleet.Host]lease{},
+		seats: map[allot.OwnershipID]allot.OwnershipRecord{}, left: map[allot.OwnershipID]float64{}, leases: map[fleet.Host]lease{},
 		cut: map[fleet.DataCentre]time.Duration{}, Doc: NewDoc(1, dcs, rate, burst),
 	}
 	for _, d := range dcs {
--- a/io/grants/claims.go
+++ b/io/grants/claims.go
@@ -27,7 +27,7 @@
 
 // storedSeat is a seat as the store has it.
 type storedSeat struct {
-	allot.SeatRecord
+	allot.OwnershipRecord
 	// Left is what the homes had when the last holder gave the seat up.
 	Left []leftover `json:"left,omitempty"`
 }
@@ -52,7 +52,7 @@
 	// without it.
 	dirty, waits bool
 	// standing remembers which holders' leases stand.
-	standing map[allot.SeatRecord]bool
+	standing map[allot.OwnershipRecord]bool
 	// withdraw holds the seats whose consent is to be withdrawn, by witness.
 	withdraw map[allot.Process][]roster.Shard
 }
@@ -100,7 +100,7 @@
 	lease, _ := r.cfg.Store.Lease()
 	c := &change{
 		seats: storedSeats{}, lease: lease, won: map[roster.Shard][]leftover{},
-		standing: map[allot.SeatRecord]bool{}, withdraw: map[allot.Process][]roster.Shard{},
+		standing: map[allot.OwnershipRecord]bool{}, withdraw: map[allot.Process][]roster.Shard{},
 	}
 	list, err := r.cfg.Store.List(ctx, r.seatsKey())
 	if err != nil {
@@ -130,7 +130,7 @@
 		if now.Tenure != g.tenure {
 			g.left = nil
 		}
-		c.seats[shardKey(h)] = storedSeat{allot.SeatRecord{Tenure: now.Tenure + 1}, g.left}
+		c.seats[shardKey(h)] = storedSeat{allot.OwnershipRecord{Tenure: now.Tenure + 1}, g.left}
 		c.given = append(c.given, h)
 		c.dirty = true
 	}
@@ -139,26 +139,26 @@
 // planClaim takes one step towards a seat.
 func (r *Runtime) planClaim(ctx context.Context, c *change, h roster.Shard) error {
 	read := c.seats[shardKey(h)]
-	stands, err := r.stands(ctx, read.SeatRecord, c.standing)
+	stands, err := r.stands(ctx, read.OwnershipRecord, c.standing)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.seat(h)
-	switch s.claim.Next(r.clock.early(), r.process(), c.lease, read.SeatRecord, stands) {
+	switch s.claim.Next(r.clock.early(), r.process(), c.lease, read.OwnershipRecord, stands) {
 	case allot.StepAdopt:
 		if !r.witnessServes(read.Witness) {
 			r.planSwap(c, h, read, nil)
 			return nil
 		}
-		r.won(h, read.SeatRecord, c.lease, nil)
+		r.won(h, read.OwnershipRecord, c.lease, nil)
 	case allot.StepSwap:
 		r.planSwap(c, h, read, read.Left)
 	case allot.StepWithdraw:
 		c.withdraw[read.Witness] = append(c.withdraw[read.Witness], h)
 		c.waits = true
-	case allot.StepRest:
+	case allot.StepIdle:
 		r.lose(h, s)
 	case allot.StepWait:
 		c.waits = true
@@ -167,16 +167,16 @@
 }
 
 // planSwap puts this host into the record of a seat. Until the answer a holder
-// counts on its lease alone (see Seat.Swapping).
+// counts on its lease alone (see Ownership.BeginSwap).
 //
 // The tokens that a predecessor left are used by the one whose swap of that very
 // record is known to have gone through, and the swap removes them: so never twice.
 func (r *Runtime) planSwap(c *change, h roster.Shard, read storedSeat, left []leftover) {
 	s := r.seat(h)
-	s.tenure.Swapping()
-	s.claim.Tried(read.SeatRecord)
+	s.tenure.BeginSwap()
+	s.claim.Tried(read.OwnershipRecord)
 	c.seats[shardKey(h)] = storedSeat{
-		SeatRecord: allot.Taken(read.SeatRecord, r.process(), c.lease, r.pickWitness()),
+		OwnershipRecord: allot.ClaimedRecord(read.OwnershipRecord, r.process(), c.lease, r.pickWitness()),
 	}
 	c.won[h], c.dirty = left, true
 }
@@ -198,19 +198,19 @@
 		delete(r.given, h)
 	}
 	for h, left := range c.won {
-		r.won(h, c.seats[shardKey(h)].SeatRecord, c.lease, left)
+		r.won(h, c.seats[shardKey(h)].OwnershipRecord, c.lease, left)
 	}
 	return nil
 }
 
 // won takes in that the record names this host; r.mu is held.
-func (r *Runtime) won(h roster.Shard, rec allot.SeatRecord, lease uint64, left []leftover) {
+func (r *Runtime) won(h roster.Shard, rec allot.OwnershipRecord, lease uint64, left []leftover) {
 	l, until := r.cfg.Store.Lease()
 	s := r.seat(h)
 	s.claim, s.yield = allot.Claim{}, time.Time{}
-	kept := s.tenure.Won(rec)
+	kept := s.tenure.Acquired(rec)
 	if l == lease {
-		s.tenure.Leased(lease, until)
+		s.tenure.LeaseRenewed(lease, until)
 	}
 	if !kept {
 		r.dropHomes(h)
@@ -226,14 +226,14 @@
 // stands reports whether the lease of a record's holder stands, asking the store
 // once for all seats of one holder. A holder that is a member is taken to have
 // its lease without asking: to rest is always safe, and it costs no call.
-func (r *Runtime) stands(ctx context.Context, rec allot.SeatRecord, known map[allot.SeatRecord]bool) (bool, error) {
+func (r *Runtime) stands(ctx context.Context, rec allot.OwnershipRecord, known map[allot.OwnershipRecord]bool) (bool, error) {
 	if rec.Holder == (allot.Process{}) || rec.Holder == r.process() {
 		return false, nil
 	}
 	if m, ok := r.member(rec.Holder.Host); ok && !m.Leaving && r.cfg.Store.Epoch(m.Host) == rec.Holder.Epoch {
 		return true, nil
 	}
-	k := allot.SeatRecord{Holder: rec.Holder, Lease: rec.Lease}
+	k := allot.OwnershipRecord{Holder: rec.Holder, Lease: rec.Lease}
 	if v, ok := known[k]; ok {
 		return v, nil
 	}
@@ -289,6 +289,6 @@
 	defer r.mu.Unlock()
 	for i, h := range shards {
 		remains := time.Duration(a.GetSeats()[i].GetRemainsUs()) * time.Microsecond
-		r.seat(h).claim.Withdrawn(r.clock.early(), c.seats[shardKey(h)].SeatRecord, remains)
+		r.seat(h).claim.Withdrawn(r.clock.early(), c.seats[shardKey(h)].OwnershipRecord, remains)
 	}
 }
--- a/io/grants/clock.go
+++ b/io/grants/clock.go
@@ -11,7 +11,7 @@
 type clock struct {
 	now   func() time.Time
 	first time.Time
-	clock allot.Clock
+	clock allot.SuspendAwareClock
 }
 
 func (c *clock) start(now func() time.Time) {
@@ -23,9 +23,9 @@
 	return c.now()
 }
 
-// late returns the time as allot.Clock has it.
+// late returns the time as allot.SuspendAwareClock has it.
 func (c *clock) late() time.Time {
 	t := c.now()
 	wall := t.Round(0).Sub(c.first.Round(0))
-	return c.first.Add(c.clock.Late(wall, t.Sub(c.first)))
+	return c.first.Add(c.clock.Elapsed(wall, t.Sub(c.first)))
 }
--- a/io/grants/consent.go
+++ b/io/grants/consent.go
@@ -36,7 +36,7 @@
 
 // tenureOf names a tenure of a seat.
 type tenureOf struct {
-	name   allot.SeatName
+	name   allot.OwnershipID
 	tenure uint64
 }
 
--- a/io/grants/grants.go
+++ b/io/grants/grants.go
@@ -93,7 +93,7 @@
 	homes map[name]*allot.Home
 	// granted holds the accounts that ever had a home in this process.
 	granted map[name]bool
-	seats   map[allot.SeatName]*seat
+	seats   map[allot.OwnershipID]*seat
 	given   map[roster.Shard]given
 	witness allot.Witness
 	lastID  allot.GrantID
@@ -121,7 +121,7 @@
 		leaves:   ring.New[chan struct{}](1),
 		homes:    map[name]*allot.Home{},
 		granted:  map[name]bool{},
-		seats:    map[allot.SeatName]*seat{},
+		seats:    map[allot.OwnershipID]*seat{},
 		given:    map[roster.Shard]given{},
 		lastID:   firstID(cfg.Host, cfg.Epoch),
 	}
--- a/io/grants/homes.go
+++ b/io/grants/homes.go
@@ -48,7 +48,7 @@
 	defer r.mu.Unlock()
 	s := r.seats[seatName(r.cfg.DataCentre, shard)]
 	h := r.homes[n]
-	if s == nil || h == nil || !s.tenure.May(r.clock.late()) {
+	if s == nil || h == nil || !s.tenure.CanGrant(r.clock.late()) {
 		return allot.Grant{}, homeOf{hint: r.winner(shard)}
 	}
 	g := h.Ask(r.clock.early(), a)
@@ -70,7 +70,7 @@
 func (r *Runtime) witnessed(q *hostpb.SeatAsk) *hostpb.SeatAnswer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := allot.SeatName(q.GetSeat())
+	n := allot.OwnershipID(q.GetSeat())
 	now := r.clock.early()
 	if !q.GetWithdraw() {
 		return &hostpb.SeatAnswer{Consented: r.witness.Consent(now, n, q.GetTenure())}
@@ -94,7 +94,7 @@
 	for _, a := range d.Accounts {
 		n := name{d.Service, a.Name}
 		if h := r.homes[n]; h != nil {
-			h.Change(now, d.Version, r.share(d, a), sameList)
+			h.SetShare(now, d.Version, r.share(d, a), sameList)
 			continue
 		}
 		s := r.seats[seatName(r.cfg.DataCentre, roster.ShardOf(d.Service, a.Name))]
--- a/io/grants/seats.go
+++ b/io/grants/seats.go
@@ -43,13 +43,13 @@
 // SeatPrefix is where the seats are kept in the store, a key for each data centre.
 const SeatPrefix = "/skylarkdeal/homes/"
 
-func seatName(d fleet.DataCentre, h roster.Shard) allot.SeatName {
-	return allot.SeatName(fmt.Sprintf("%s/%02d", d, h))
+func seatName(d fleet.DataCentre, h roster.Shard) allot.OwnershipID {
+	return allot.OwnershipID(fmt.Sprintf("%s/%02d", d, h))
 }
 
 // seat is this host's view of one seat of its data centre.
 type seat struct {
-	tenure allot.Seat
+	tenure allot.Ownership
 	claim  allot.Claim
 	// yield is when this host, the holder, first saw another one win the duty.
 	yield time.Time
@@ -141,10 +141,10 @@
 		case !ok || w.Host != r.cfg.Host || r.leaving:
 			r.lose(h, s)
 		case s.tenure.Held():
-			s.tenure.Leased(0, forever)
+			s.tenure.LeaseRenewed(0, forever)
 		default:
-			s.tenure.Won(allot.SeatRecord{Holder: r.process()})
-			s.tenure.Leased(0, forever)
+			s.tenure.Acquired(allot.OwnershipRecord{Holder: r.process()})
+			s.tenure.LeaseRenewed(0, forever)
 			r.startHomes(h, nil)
 		}
 		r.mu.Unlock()
@@ -193,7 +193,7 @@
 	if lease != s.tenure.Record().Lease && !until.IsZero() {
 		return false
 	}
-	s.tenure.Leased(lease, until)
+	s.tenure.LeaseRenewed(lease, until)
 	return !r.clock.late().Before(until) || r.witnessServes(s.tenure.Record().Witness)
 }
 
--- a/io/grants/send.go
+++ b/io/grants/send.go
@@ -13,7 +13,7 @@
 // ask is one account's ask on its way to a home and back.
 type ask struct {
 	entry  *entry
-	wanted allot.Wanted
+	wanted allot.HomeRequest
 	sent   time.Time
 	grant  allot.Grant
 	home   homeOf
@@ -34,14 +34,14 @@
 type outbox struct {
 	jobs map[fleet.Host]*job
 	// at is the rank, by roster, of the host that is asked for a seat.
-	at map[allot.SeatName]int
+	at map[allot.OwnershipID]int
 	// known is the host that last granted for a seat, or was hinted at.
-	known map[allot.SeatName]fleet.Host
+	known map[allot.OwnershipID]fleet.Host
 }
 
 // queue puts an ask with those that go to the same host, or answers it at once
 // when this host is the home.
-func (r *Runtime) queue(e *entry, w allot.Wanted, now time.Time) {
+func (r *Runtime) queue(e *entry, w allot.HomeRequest, now time.Time) {
 	a := ask{entry: e, wanted: w, sent: now}
 	to, ok := r.target(w.DataCentre, e.shard)
 	if !ok {
@@ -153,14 +153,14 @@
 	a.entry.spender.Failed(now, a.wanted.DataCentre)
 }
 
-func (o *outbox) know(n allot.SeatName, h fleet.Host) {
+func (o *outbox) know(n allot.OwnershipID, h fleet.Host) {
 	if o.known == nil {
-		o.known, o.at = map[allot.SeatName]fleet.Host{}, map[allot.SeatName]int{}
+		o.known, o.at = map[allot.OwnershipID]fleet.Host{}, map[allot.OwnershipID]int{}
 	}
 	o.known[n], o.at[n] = h, 0
 }
 
-func (o *outbox) next(n allot.SeatName, hint, from fleet.Host) {
+func (o *outbox) next(n allot.OwnershipID, hint, from fleet.Host) {
 	if hint != "" && hint != from && o.known[n] != hint {
 		at := o.at[n]
 		o.know(n, hint)
--- a/io/grants/state.go
+++ b/io/grants/state.go
@@ -63,9 +63,9 @@
 
 // State is what a state dump shows of the grants.
 type State struct {
-	Accounts []AccountState                      `json:"accounts"`
-	Homes    []HomeState                         `json:"homes"`
-	Seats    map[allot.SeatName]allot.SeatRecord `json:"seats"`
+	Accounts []AccountState                              `json:"accounts"`
+	Homes    []HomeState                                 `json:"homes"`
+	Seats    map[allot.OwnershipID]allot.OwnershipRecord `json:"seats"`
 }
 
 // AccountState is an account as this host spends for it.
@@ -86,7 +86,7 @@
 
 // State returns what the runtime holds at the moment.
 func (r *Runtime) State() State {
-	s := State{Seats: map[allot.SeatName]allot.SeatRecord{}}
+	s := State{Seats: map[allot.OwnershipID]allot.OwnershipRecord{}}
 	r.entries.each(func(e *entry) {
 		s.Accounts = append(s.Accounts, AccountState{
 			e.service, e.account, e.waiting.Load(), e.admitted.Load(), e.refused.Load(),
@@ -155,7 +155,7 @@
 func (r *Runtime) giveBack() {
 	now := r.clock.late()
 	r.entries.each(func(e *entry) {
-		for _, w := range e.spender.Leave() {
+		for _, w := range e.spender.ReturnAll() {
 			r.queue(e, w, now)
 		}
 	})
