--- a/core/relay/conn.go
+++ b/core/relay/conn.go
@@ -157,8 +157,8 @@
 	c.Send(qs)
 }
 
-// Connected takes in that the connection stands.
-func (r *Relay) Connected(c *Conn, a statement.Answer) {
+// ConnOpened takes in that the connection stands.
+func (r *Relay) ConnOpened(c *Conn, a statement.Answer) {
 	if c.state != connDialling {
 		return
 	}
@@ -173,8 +173,8 @@
 	c.g.pump()
 }
 
-// Answered takes in the next answer on a connection.
-func (r *Relay) Answered(c *Conn, a statement.Answer) {
+// HandleAnswer takes in the next answer on a connection.
+func (r *Relay) HandleAnswer(c *Conn, a statement.Answer) {
 	if c.state == connClosed {
 		return
 	}
@@ -194,8 +194,8 @@
 	c.g.pump()
 }
 
-// Turned takes in that the instance has refused the connection.
-func (r *Relay) Turned(c *Conn, code statement.Code, detail string) {
+// ConnectRefused takes in that the instance has refused the connection.
+func (r *Relay) ConnectRefused(c *Conn, code statement.Code, detail string) {
 	if c.state == connClosed {
 		return
 	}
@@ -207,8 +207,8 @@
 	c.lost("refused")
 }
 
-// Lost takes in that the connection has ended or couldn't be made.
-func (r *Relay) Lost(c *Conn, err error) {
+// ConnClosed takes in that the connection has ended or couldn't be made.
+func (r *Relay) ConnClosed(c *Conn, err error) {
 	if c.state == connClosed {
 		return
 	}
--- a/core/relay/crowd_test.go
+++ b/core/relay/crowd_test.go
@@ -69,11 +69,11 @@
 		dials := 0
 		for h := 1; h < len(hosts); h += 3 {
 			w := worldOf(c, hosts[h], age)
-			w.relay.SetHosts(len(hosts))
+			w.relay.SetHostCount(len(hosts))
 			w.relay.SetPeers(append(append([]relay.Peer(nil), hosts[:h]...), hosts[h+1:]...), 0)
 			w.now = w.now.Add(200 * time.Millisecond)
 			before := w.instances["b"].dialled
-			w.relay.Doubted(hosts[0].Host, []fleet.Instance{"b"}, nil)
+			w.relay.AddReachability(hosts[0].Host, []fleet.Instance{"b"}, nil)
 			dials += w.instances["b"].dialled - before
 		}
 		c.Check(dials > 0, qt.Equals, age == time.Minute, qt.Commentf("%d connections at the age of %v", dials, age))
@@ -87,11 +87,11 @@
 	for _, age := range []time.Duration{100 * time.Millisecond, time.Minute} {
 		w := worldOf(c, relay.Peer{Host: "h1", DataCentre: "obihiro"}, age)
 		var got []statement.Answer
-		w.relay.Forwarded(1, relay.Forward{
+		w.relay.HandleForward(1, relay.Forward{
 			Stream: 1, Service: "ledger", Instance: "l", Account: "hotel", Left: time.Second, Open: true, Close: true,
 			Statements: []statement.Statement{{ID: "f1", Kind: statement.KindRead, Text: "item"}},
 		}, func(a statement.Answer) { got = append(got, a) })
-		w.relay.Listed(w.instancesOf("ledger", "l"), w.now)
+		w.relay.SetInstances(w.instancesOf("ledger", "l"), w.now)
 		w.pass(100*time.Millisecond, true)
 		c.Assert(got, qt.HasLen, 1)
 		c.Check(got[0].Code == statement.CodeNone, qt.Equals, age != time.Minute)
--- a/core/relay/duty.go
+++ b/core/relay/duty.go
@@ -51,11 +51,11 @@
 	surveyLimit = 400 * time.Millisecond
 )
 
-// HoldsDuty reports whether this host is the one that gives orders.
-func (r *Relay) HoldsDuty() bool { return r.duty.holds }
+// IsCoordinator reports whether this host is the one that gives orders.
+func (r *Relay) IsCoordinator() bool { return r.duty.holds }
 
-// HoldDuty tells whether this host is the one that gives orders.
-func (r *Relay) HoldDuty(holds bool) {
+// SetCoordinator tells whether this host is the one that gives orders.
+func (r *Relay) SetCoordinator(holds bool) {
 	if holds == r.duty.holds {
 		return
 	}
@@ -67,8 +67,8 @@
 	r.note(Event{Kind: EventLeader, Choice: choice, Reason: "the store's key for changes of primary"})
 }
 
-// Doubts returns the instances that this host can't reach now, with for how long.
-func (r *Relay) Doubts() map[fleet.Instance]time.Duration {
+// Unreachable returns the instances that this host can't reach now, with for how long.
+func (r *Relay) Unreachable() map[fleet.Instance]time.Duration {
 	now := r.now()
 	out := map[fleet.Instance]time.Duration{}
 	for _, g := range r.groups {
@@ -81,9 +81,9 @@
 	return out
 }
 
-// Reached returns the instances that another host doubts and this one has heard lately, by
+// Reachable returns the instances that another host doubts and this one has heard lately, by
 // connections of its own.
-func (r *Relay) Reached() []fleet.Instance {
+func (r *Relay) Reachable() []fleet.Instance {
 	now := r.now()
 	var out []fleet.Instance
 	for _, g := range r.groups {
@@ -105,9 +105,9 @@
 	return false
 }
 
-// Doubted takes in what another host can't reach, and what it can although others can't.
+// AddReachability takes in what another host can't reach, and what it can although others can't.
 // Who hears of a doubt and is a witness looks for itself.
-func (r *Relay) Doubted(from fleet.Host, is, reached []fleet.Instance) {
+func (r *Relay) AddReachability(from fleet.Host, is, reached []fleet.Instance) {
 	now := r.now()
 	if r.duty.doubts == nil {
 		r.duty.doubts = map[fleet.Host]doubt{}
@@ -143,8 +143,8 @@
 	return i.failures > 0 && now.Sub(i.lastHeard) > doubtAfter && now.Sub(i.failing) > doubtAfter/4
 }
 
-// Record returns the revision of the newest record of an order that the host knows of.
-func (r *Relay) Record() uint64 {
+// RecordRevision returns the revision of the newest record of an order that the host knows of.
+func (r *Relay) RecordRevision() uint64 {
 	var last uint64
 	for _, g := range r.groups {
 		last = max(last, g.belief.Record().Revision)
@@ -196,9 +196,9 @@
 	o.Service = g.name
 	g.r.note(Event{
 		Kind: EventLeader, Service: g.name, Instance: o.Primary, Term: o.Term,
-		Choice: "order a change of primary", Reason: string(o.Reason), Need: g.instances[o.Primary].received,
+		Choice: "order a change of primary", Reason: string(o.Reason), RequiredPoint: g.instances[o.Primary].received,
 	})
-	g.r.cfg.Order(o)
+	g.r.cfg.RequestPromotion(o)
 }
 
 // orderPause keeps a host from giving a second order before the first one's record, or
@@ -239,9 +239,9 @@
 	return s
 }
 
-// Ordered takes in how an order has gone: given with success, or refused because the
+// PromotionFinished takes in how an order has gone: given with success, or refused because the
 // instance isn't running.
-func (r *Relay) Ordered(o leader.PromotionRequest, given, refused bool) {
+func (r *Relay) PromotionFinished(o leader.PromotionRequest, given, refused bool) {
 	g := r.group(o.Service)
 	if given {
 		g.given = r.now()
@@ -256,9 +256,9 @@
 	}
 }
 
-// StepDown has the former primary of an order stop, shortly before the new one leads:
+// RequestStepDown has the former primary of an order stop, shortly before the new one leads:
 // what it would still accept would be lost, as the new one has no time to receive it.
-func (r *Relay) StepDown(o leader.PromotionRequest) {
+func (r *Relay) RequestStepDown(o leader.PromotionRequest) {
 	g := r.group(o.Service)
 	i := g.instances[o.Former]
 	if i == nil || g.belief.Record().Primary != o.Primary {
--- a/core/relay/evacuation.go
+++ b/core/relay/evacuation.go
@@ -75,7 +75,7 @@
 
 // evacuateWithin is how long after it has learnt of an evacuation this host may still send.
 func (r *Relay) evacuateWithin() time.Duration {
-	d := r.cfg.Evacuate
+	d := r.cfg.EvacuationTimeout
 	if d <= 0 {
 		d = defaultEvacuate
 	}
--- a/core/relay/evacuation_test.go
+++ b/core/relay/evacuation_test.go
@@ -30,7 +30,7 @@
 // forward has another host have a statement run here, and returns the answers.
 func (w *world) forward(i fleet.Instance, q statement.Statement) []statement.Answer {
 	var got []statement.Answer
-	w.relay.Forwarded(1, relay.Forward{
+	w.relay.HandleForward(1, relay.Forward{
 		Stream: 1, Service: service, Instance: i, Account: "hotel", Left: time.Second, Open: true, Close: true,
 		Statements: []statement.Statement{q},
 	}, func(a statement.Answer) { got = append(got, a) })
@@ -57,7 +57,7 @@
 func TestEvacuatedPrimaryIsReplacedElsewhere(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
-	w.relay.HoldDuty(true)
+	w.relay.SetCoordinator(true)
 	w.evacuate("sapporo")
 	w.pass(500*time.Millisecond, true)
 	c.Assert(w.orders, qt.HasLen, 1)
@@ -122,7 +122,7 @@
 	w := newSplitWorld(c)
 	old := w.laid
 	w.evacuate("sapporo")
-	c.Assert(w.relay.Adopt(old), qt.IsFalse)
+	c.Assert(w.relay.SetCatalog(old), qt.IsFalse)
 	w.pass(3*time.Second, true)
 	x := w.open("rush", "key-1")
 	x.do(statement.KindWrite, "", "item data")
@@ -138,7 +138,7 @@
 func TestShortEvacuationChangesNoPrimary(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
-	w.relay.HoldDuty(true)
+	w.relay.SetCoordinator(true)
 	w.evacuate("sapporo")
 	w.evacuate()
 	w.pass(time.Second, true)
@@ -150,7 +150,7 @@
 func TestEvacuationOfAllDataCentresRefusesEverythingTruly(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
-	w.relay.HoldDuty(true)
+	w.relay.SetCoordinator(true)
 	w.evacuate("obihiro", "sapporo", "nowhere")
 	w.pass(3*time.Second, true)
 	c.Assert(w.orders, qt.HasLen, 0)
@@ -177,10 +177,10 @@
 	w.instances["b"].far = true
 	w.list()
 	w.settled()
-	w.relay.HoldDuty(true)
+	w.relay.SetCoordinator(true)
 	w.promote()
 	w.instances["a"].role = fleet.RoleReplica
-	w.relay.Recorded(leader.Record{Service: service, Term: 2, Primary: "b", Former: "a", Revision: 1})
+	w.relay.AddRecord(leader.Record{Service: service, Term: 2, Primary: "b", Former: "a", Revision: 1})
 	w.pass(100*time.Millisecond, true)
 	w.evacuate("sapporo")
 	w.pass(2*time.Second, true)
--- a/core/relay/event.go
+++ b/core/relay/event.go
@@ -47,20 +47,20 @@
 	Term       fleet.Term
 	// Consistency is that of the route.
 	Consistency catalog.Consistency
-	// Need is the point that a read had to cover, Has where the instance's log stood, Received
+	// RequiredPoint is the point that a read had to cover, InstancePoint where the instance's log stood, Received
 	// the end of what the instance had received, as it said itself.
-	Need, Has, Received fleet.LogPosition
+	RequiredPoint, InstancePoint, Received fleet.LogPosition
 	// Age is that of what decided.
 	Age time.Duration
 	// Took is the time from the caller's statement to this event.
 	Took time.Duration
-	// Slow marks an event that explains a failed or late statement: it is never left
+	// AlwaysLog marks an event that explains a failed or late statement: it is never left
 	// out of the log.
-	Slow bool
+	AlwaysLog bool
 }
 
 func (r *Relay) note(e Event) {
-	if r.cfg.Note != nil {
-		r.cfg.Note(e)
+	if r.cfg.LogEvent != nil {
+		r.cfg.LogEvent(e)
 	}
 }
--- a/core/relay/fleet_test.go
+++ b/core/relay/fleet_test.go
@@ -53,8 +53,8 @@
 			})
 		}
 	}
-	w.relay.Listed(is, w.now)
-	w.relay.SetHosts(len(hosts))
+	w.relay.SetInstances(is, w.now)
+	w.relay.SetHostCount(len(hosts))
 	w.relay.SetPeers(append(append([]relay.Peer(nil), hosts[:n]...), hosts[n+1:]...), 0)
 	return w
 }
@@ -136,7 +136,7 @@
 		for h := 1; h < n; h++ {
 			w := join(c, hosts, h, 0)
 			w.now = w.now.Add(time.Second)
-			w.relay.Doubted(hosts[0].Host, []fleet.Instance{"b"}, nil)
+			w.relay.AddReachability(hosts[0].Host, []fleet.Instance{"b"}, nil)
 			dials += w.instances["b"].dialled
 		}
 		c.Check(dials > 0 && dials <= 16, qt.IsTrue, qt.Commentf("%d connections of %d hosts", dials, n))
@@ -148,8 +148,8 @@
 func TestHostThatHearsFewMakesNoConnections(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
-	w.relay.SetHosts(300)
-	w.relay.SetUnsure(true)
+	w.relay.SetHostCount(300)
+	w.relay.SetPeersIncomplete(true)
 	w.settled()
 	for _, n := range w.instances {
 		c.Check(n.dialled, qt.Equals, 0)
@@ -161,7 +161,7 @@
 	w.pass(100*time.Millisecond, true)
 	c.Check(sent > 0, qt.IsTrue)
 	w.relay.SetPeers(nil, 0)
-	w.relay.SetUnsure(false)
+	w.relay.SetPeersIncomplete(false)
 	w.settled()
 	c.Check(w.instances["a"].dialled > 0, qt.IsTrue)
 }
@@ -171,7 +171,7 @@
 func TestHostsThatHearNobodyLeaveRoom(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
-	w.relay.SetHosts(12)
+	w.relay.SetHostCount(12)
 	w.settled()
 	w.instances["a"].hold = true
 	for _, k := range []catalog.Key{"key-1", "key-1", "key-3", "key-3"} {
@@ -201,7 +201,7 @@
 func TestHostThatOnlyForwardsRestsWhileAGroupHasNoPrimary(t *testing.T) {
 	c := qt.New(t)
 	w := join(c, fleetOf(300), 50, 1)
-	c.Assert(w.relay.Waiting(), qt.IsFalse)
-	w.relay.HoldDuty(true)
-	c.Assert(w.relay.Waiting(), qt.IsTrue)
+	c.Assert(w.relay.HasWaiting(), qt.IsFalse)
+	w.relay.SetCoordinator(true)
+	c.Assert(w.relay.HasWaiting(), qt.IsTrue)
 }
--- a/core/relay/forward.go
+++ b/core/relay/forward.go
@@ -32,9 +32,9 @@
 // would be taken for no limit.
 const leastWait = time.Millisecond
 
-// LinkID names a connection from another host. A host that was cut off may open a new one
+// PeerLinkID names a connection from another host. A host that was cut off may open a new one
 // before the end of the old one shows.
-type LinkID uint64
+type PeerLinkID uint64
 
 // Peer is another host, as this one can use it.
 type Peer struct {
@@ -48,7 +48,7 @@
 
 // stream names a stream of another host.
 type stream struct {
-	link LinkID
+	link PeerLinkID
 	id   uint64
 }
 
@@ -116,17 +116,17 @@
 	f.peers = ps
 }
 
-// SetUnsure tells whether this host has just started in a large fleet and hears too few of its hosts
+// SetPeersIncomplete tells whether this host has just started in a large fleet and hears too few of its hosts
 // to tell which of them hold connections. It makes none of its own then, and uses those of the
 // holders that it hears.
 //
 // The load it is made for: hundreds of hosts that start at once. Each took itself for the holder
 // of instances whose holders it didn't hear yet, and together they filled all instances.
-func (r *Relay) SetUnsure(unsure bool) { r.forwarding.unsure = unsure }
+func (r *Relay) SetPeersIncomplete(unsure bool) { r.forwarding.unsure = unsure }
 
-// SetSecluded tells whether no host of another data centre has been heard for a moment, although
+// SetIsolated tells whether no host of another data centre has been heard for a moment, although
 // there are some. An instance there that has answered outweighs that.
-func (r *Relay) SetSecluded(secluded bool) {
+func (r *Relay) SetIsolated(secluded bool) {
 	r.forwarding.secluded = secluded && !r.hearsFar(r.now())
 }
 
@@ -209,13 +209,13 @@
 	return c
 }
 
-// ForwardAnswered takes in the answer of another host.
-func (r *Relay) ForwardAnswered(from fleet.Host, id uint64, a statement.Answer) {
+// HandleForwardAnswer takes in the answer of another host.
+func (r *Relay) HandleForwardAnswer(from fleet.Host, id uint64, a statement.Answer) {
 	c := r.forwarding.virtual[id]
 	if c == nil || c.via != from {
 		return
 	}
-	r.Answered(c, a)
+	r.HandleAnswer(c, a)
 }
 
 // tickForwarding gives up the questions that another host doesn't answer. They take no slot, and
@@ -240,21 +240,21 @@
 	}
 }
 
-// GuestsGone takes in that a link from another host has ended: what this one runs for it
+// InboundLinkClosed takes in that a link from another host has ended: what this one runs for it
 // is rolled back.
-func (r *Relay) GuestsGone(l LinkID) {
+func (r *Relay) InboundLinkClosed(l PeerLinkID) {
 	for k, s := range r.forwarding.guests {
 		if k.link == l {
 			delete(r.forwarding.guests, k)
-			s.Gone()
+			s.Disconnected()
 		}
 	}
 }
 
-// Forwarded runs what another host asks for, and answers it by reply. The other host has
+// HandleForward runs what another host asks for, and answers it by reply. The other host has
 // admitted the operation, chosen the instance and proves the answer; this one queues it
 // among its own, by account, and finds the connection.
-func (r *Relay) Forwarded(from LinkID, f Forward, reply func(a statement.Answer)) {
+func (r *Relay) HandleForward(from PeerLinkID, f Forward, reply func(a statement.Answer)) {
 	if len(f.Statements) == 1 && f.Statements[0].Kind == statement.KindStepDown {
 		r.group(f.Service).inquire(f.Instance, f.Statements[0].Term, reply)
 		return
@@ -273,7 +273,7 @@
 	}
 	if len(f.Statements) == 0 {
 		delete(r.forwarding.guests, k)
-		s.Gone()
+		s.Disconnected()
 		return
 	}
 	last := false
@@ -283,7 +283,7 @@
 		}
 		if f.Close {
 			delete(r.forwarding.guests, k)
-			defer s.Gone()
+			defer s.Disconnected()
 		}
 		reply(a)
 	}
@@ -300,8 +300,8 @@
 		r: r, started: true, prepared: map[string]*prepared{}, account: f.Account, instance: f.Instance,
 		route: catalog.Route{Service: f.Service},
 	}
-	s.link = Link{
-		Started: func() {}, Close: func() {},
+	s.link = CallerConn{
+		Accept: func() {}, Close: func() {},
 		Reject: func(code statement.Code, detail string) {
 			s.link.Answer(statement.Answer{Code: code, Detail: detail, State: s.state()})
 		},
--- a/core/relay/forward_test.go
+++ b/core/relay/forward_test.go
@@ -25,14 +25,14 @@
 	c.Assert(sent, qt.HasLen, 0)
 	w.lose("a")
 	for range 7 {
-		w.relay.Doubted("h2", nil, []fleet.Instance{"a"})
+		w.relay.AddReachability("h2", nil, []fleet.Instance{"a"})
 		w.pass(100*time.Millisecond, true)
 	}
 	sent = nil
 	x.do(statement.KindWrite, "", "item data")
 	c.Assert(len(sent) > 0, qt.IsTrue)
 	f := sent[len(sent)-1]
-	w.relay.ForwardAnswered("h2", f.Stream, statement.Answer{Digest: "d-over", State: statement.TxNone})
+	w.relay.HandleForwardAnswer("h2", f.Stream, statement.Answer{Digest: "d-over", State: statement.TxNone})
 	w.pass(50*time.Millisecond, true)
 	c.Assert(x.last().Digest, qt.Equals, "d-over")
 }
@@ -52,14 +52,14 @@
 			{ID: "b", Kind: statement.KindBegin}, {ID: "w1", Kind: statement.KindWrite, Text: "1 a"},
 		},
 	}
-	w.relay.Forwarded(1, f, reply)
+	w.relay.HandleForward(1, f, reply)
 	w.pass(20*time.Millisecond, true)
 	c.Assert(got, qt.HasLen, 1)
 	c.Assert(got[0].State, qt.Equals, statement.TxOpen)
-	w.relay.GuestsGone(1)
+	w.relay.InboundLinkClosed(1)
 	c.Assert(w.count("rollback"), qt.Equals, 1)
 	f.Open, f.Statements = false, []statement.Statement{{ID: "w2", Kind: statement.KindWrite, Text: "2 b"}}
-	w.relay.Forwarded(2, f, reply)
+	w.relay.HandleForward(2, f, reply)
 	w.pass(20*time.Millisecond, true)
 	c.Assert(got[1].Code, qt.Equals, statement.CodeAborted)
 	c.Assert(w.count("write w2"), qt.Equals, 0)
@@ -70,7 +70,7 @@
 func TestScarceConnectionsAreHeldByOneHost(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	w.relay.SetHosts(12)
+	w.relay.SetHostCount(12)
 	var sent []relay.Forward
 	var over fleet.Host
 	peers := []relay.Peer{{
@@ -88,9 +88,9 @@
 	c.Assert(sent, qt.HasLen, 1)
 	c.Assert(sent[0].Open, qt.IsTrue)
 	c.Assert(sent[0].Close, qt.IsTrue)
-	w.relay.ForwardAnswered(over, sent[0].Stream, statement.Answer{Digest: "d-over", State: statement.TxNone})
+	w.relay.HandleForwardAnswer(over, sent[0].Stream, statement.Answer{Digest: "d-over", State: statement.TxNone})
 	c.Assert(x.last().Digest, qt.Equals, "d-over")
-	w.relay.ForwardAnswered(over, sent[0].Stream, statement.Answer{Digest: "twice", State: statement.TxNone})
+	w.relay.HandleForwardAnswer(over, sent[0].Stream, statement.Answer{Digest: "twice", State: statement.TxNone})
 	c.Assert(x.answers, qt.HasLen, 1)
 }
 
@@ -101,7 +101,7 @@
 func TestYoungHostsShareOneHolder(t *testing.T) {
 	c := qt.New(t)
 	w := newYoungWorld(c).settled()
-	w.relay.SetHosts(2)
+	w.relay.SetHostCount(2)
 	var sent []relay.Forward
 	var peers []relay.Peer
 	for n := range 9 {
@@ -136,7 +136,7 @@
 			{ID: "r", Kind: statement.KindRead, Text: "item"},
 		},
 	}
-	w.relay.Forwarded(1, f, func(a statement.Answer) { got = append(got, a) })
+	w.relay.HandleForward(1, f, func(a statement.Answer) { got = append(got, a) })
 	w.pass(50*time.Millisecond, true)
 	c.Assert(got, qt.HasLen, 1)
 	c.Assert(got[0].Code, qt.Equals, statement.CodeLagging)
@@ -174,7 +174,7 @@
 			Statements: []statement.Statement{{ID: "r", Kind: statement.KindRead, Text: "item"}},
 		}
 		w.instances["b"].hold = true
-		w.relay.Forwarded(1, f, func(a statement.Answer) { got = append(got, a) })
+		w.relay.HandleForward(1, f, func(a statement.Answer) { got = append(got, a) })
 	}
 	w.pass(50*time.Millisecond, true)
 	c.Assert(len(got) > 0, qt.IsTrue)
--- a/core/relay/group.go
+++ b/core/relay/group.go
@@ -192,7 +192,7 @@
 			})
 		}
 		g.belief.AddRefusal(c.Instance)
-		g.r.cfg.Refresh()
+		g.r.cfg.RefreshRecords()
 	default:
 	}
 }
--- a/core/relay/history_test.go
+++ b/core/relay/history_test.go
@@ -49,7 +49,7 @@
 	w.pass(1900*time.Millisecond, true)
 	b := w.instances["b"]
 	b.hold = true
-	w.relay.Recorded(toSuccessor)
+	w.relay.AddRecord(toSuccessor)
 	w.pass(80*time.Millisecond, true)
 	c.Assert(b.pending, qt.HasLen, 2, qt.Commentf("an answer, and a second connection"))
 	asReplica, connected := b.pending[0], b.pending[1]
@@ -94,7 +94,7 @@
 	w := acquainted(c)
 	w.instances["a"].point.Index = 6
 	w.lose("a")
-	w.relay.Recorded(toSuccessor)
+	w.relay.AddRecord(toSuccessor)
 	w.pass(1900*time.Millisecond, true)
 	w.promote()
 	_, first := w.reads("rush", 100*time.Millisecond, true)
@@ -135,7 +135,7 @@
 func TestReadDoesNotRunOnTheFormerPrimaryUnasked(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	w.relay.Recorded(toSuccessor)
+	w.relay.AddRecord(toSuccessor)
 	w.pass(1050*time.Millisecond, true)
 	w.promote().point = fleet.LogPosition{Term: 2, Index: 6}
 	ran, x := w.reads("rush", 100*time.Millisecond, true)
--- a/core/relay/homes_test.go
+++ b/core/relay/homes_test.go
@@ -91,7 +91,7 @@
 func TestStatementIsNotForwardedAbroad(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
-	w.relay.SetHosts(12)
+	w.relay.SetHostCount(12)
 	told := 0
 	w.relay.SetPeers([]relay.Peer{{
 		Host: "h2", DataCentre: "sapporo", Send: func(f relay.Forward) {
@@ -118,7 +118,7 @@
 	w.instances["b"].far = true
 	w.list()
 	w.settled()
-	w.relay.HoldDuty(true)
+	w.relay.SetCoordinator(true)
 	w.confine("rush", "", "hokkaido")
 	w.list("a")
 	w.pass(500*time.Millisecond, true)
--- a/core/relay/model_group_test.go
+++ b/core/relay/model_group_test.go
@@ -200,7 +200,7 @@
 	}
 	c.Close = func() { w.closed = true }
 	w.forth(statement.KindDiscard, func() {
-		w.reply(statement.Answer{}, func(a statement.Answer) { m.relay.Connected(c, a) })
+		w.reply(statement.Answer{}, func(a statement.Answer) { m.relay.ConnOpened(c, a) })
 	})
 }
 
@@ -245,7 +245,7 @@
 // take has the server do what a statement asks for.
 func (w *wire) take(q statement.Statement) {
 	answer := func(a statement.Answer) {
-		w.reply(a, func(a statement.Answer) { w.m.relay.Answered(w.conn, a) })
+		w.reply(a, func(a statement.Answer) { w.m.relay.HandleAnswer(w.conn, a) })
 	}
 	s := w.s
 	if q.ID != "" {
--- a/core/relay/model_test.go
+++ b/core/relay/model_test.go
@@ -74,16 +74,16 @@
 	m.servers["a"].role = fleet.RolePrimary
 	m.relay = relay.New(relay.Config{
 		Host: "h1", DataCentre: "obihiro", Now: func() time.Time { return m.now }, Dial: m.dial,
-		ParseStatus: parseStatus, Refresh: m.refresh, Order: func(leader.PromotionRequest) {},
+		ParseStatus: parseStatus, RefreshRecords: m.refresh, RequestPromotion: func(leader.PromotionRequest) {},
 		Admit: func(catalog.Account) (time.Duration, bool) { return 0, true },
-		Note: func(e relay.Event) {
+		LogEvent: func(e relay.Event) {
 			if e.Kind == relay.EventLeader || e.Kind == relay.EventPlace || e.Kind == relay.EventRetry {
-				m.say("host: %s %s %s need %v has %v term %d: %s", e.Choice, e.Instance, e.ID, e.Need, e.Has, e.Term, e.Reason)
+				m.say("host: %s %s %s need %v has %v term %d: %s", e.Choice, e.Instance, e.ID, e.RequiredPoint, e.InstancePoint, e.Term, e.Reason)
 			}
 		},
 	})
-	m.relay.Adopt((&world{}).catalog(1))
-	m.relay.SetHosts(1)
+	m.relay.SetCatalog((&world{}).catalog(1))
+	m.relay.SetHostCount(1)
 	m.list()
 	m.relay.LeaseRenewed(m.now)
 	m.lease.renewed = m.now
@@ -98,7 +98,7 @@
 			Role: m.servers[n].role,
 		})
 	}
-	m.relay.Listed(is, m.now)
+	m.relay.SetInstances(is, m.now)
 }
 
 // every has f done again and again, with a random pause.
@@ -185,7 +185,7 @@
 
 func (m *model) learn(o *order) {
 	if o != nil {
-		m.relay.Recorded(o.record)
+		m.relay.AddRecord(o.record)
 	}
 }
 
@@ -298,10 +298,10 @@
 func (c *customer) connect() {
 	c.life++
 	life := c.life
-	c.s = c.m.relay.Open(relay.Link{
-		Started: func() {},
-		Answer:  func(a statement.Answer) { c.answered(life, a) },
-		Reject:  func(statement.Code, string) { c.lost() }, Close: c.lost,
+	c.s = c.m.relay.OpenSession(relay.CallerConn{
+		Accept: func() {},
+		Answer: func(a statement.Answer) { c.answered(life, a) },
+		Reject: func(statement.Code, string) { c.lost() }, Close: c.lost,
 	})
 	c.s.Start(c.database, "key-1")
 }
--- a/core/relay/node_test.go
+++ b/core/relay/node_test.go
@@ -66,7 +66,7 @@
 	a := n.run(l, q)
 	n.pending = append(n.pending, func() {
 		if !l.closed {
-			w.relay.Answered(l.conn, a)
+			w.relay.HandleAnswer(l.conn, a)
 		}
 	})
 }
--- a/core/relay/operation.go
+++ b/core/relay/operation.go
@@ -348,10 +348,10 @@
 		Choice: choice, Reason: why, Code: code, Took: o.g.r.now().Sub(o.asked), Consistency: o.route.Consistency,
 	}
 	if o.conn != nil {
-		e.Instance, e.Has = o.conn.Instance, o.conn.inst.point
+		e.Instance, e.InstancePoint = o.conn.Instance, o.conn.inst.point
 	}
 	if p, ok := o.after.Get(); ok {
-		e.Need = p
+		e.RequiredPoint = p
 	}
 	if s, ok := o.g.samples.Oldest(o.age); ok && k == EventPlace {
 		e.Age = o.g.r.now().Sub(s.Asked)
@@ -359,6 +359,6 @@
 	if o.conn != nil {
 		e.Host = o.conn.via
 	}
-	e.Slow = code != statement.CodeNone || e.Took > o.route.Target
+	e.AlwaysLog = code != statement.CodeNone || e.Took > o.route.Target
 	o.g.r.note(e)
 }
--- a/core/relay/outcome.go
+++ b/core/relay/outcome.go
@@ -162,8 +162,8 @@
 
 // refuse answers that nothing was run.
 func (o *operation) refuse(code statement.Code, why string, after time.Duration) {
-	if !o.ran && (!o.s.tx.open || !o.s.tx.ran) && o.g.r.cfg.Return != nil && o.s.instance == "" {
-		o.g.r.cfg.Return(o.s.account)
+	if !o.ran && (!o.s.tx.open || !o.s.tx.ran) && o.g.r.cfg.Refund != nil && o.s.instance == "" {
+		o.g.r.cfg.Refund(o.s.account)
 	}
 	if o.s.tx.open {
 		// The transaction never began on an instance, or was rolled back.
@@ -215,8 +215,8 @@
 	s.tx.rest = o.g.r.now()
 	a.State = s.state()
 	took := s.tx.rest.Sub(o.asked)
-	if o.g.r.cfg.Observe != nil && s.instance == "" {
-		o.g.r.cfg.Observe(o.route.Consistency, a.Code, took)
+	if o.g.r.cfg.ObserveLatency != nil && s.instance == "" {
+		o.g.r.cfg.ObserveLatency(o.route.Consistency, a.Code, took)
 	}
 	if a.Code != statement.CodeNone || took > o.route.Target && o.route.Target > 0 {
 		o.note(EventAnswer, "answer", a.Detail, a.Code)
--- a/core/relay/primary_test.go
+++ b/core/relay/primary_test.go
@@ -97,7 +97,7 @@
 	x.do(statement.KindWrite, "", "item data")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
 	c.Assert(x.last().RetryAfter > 0, qt.IsTrue)
-	_, doubted := w.relay.Doubts()["a"]
+	_, doubted := w.relay.Unreachable()["a"]
 	c.Assert(doubted, qt.IsTrue)
 }
 
@@ -106,10 +106,10 @@
 func TestDutyDoesNotReplaceAPrimaryThatOthersReach(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	w.relay.HoldDuty(true)
+	w.relay.SetCoordinator(true)
 	tell := func(reached ...fleet.Instance) {
-		w.relay.Doubted("h2", nil, reached)
-		w.relay.Doubted("h3", nil, reached)
+		w.relay.AddReachability("h2", nil, reached)
+		w.relay.AddReachability("h3", nil, reached)
 		w.pass(100*time.Millisecond, true)
 	}
 	for range 15 {
@@ -128,10 +128,10 @@
 func TestDutyReplacesAPrimaryThatOnlyItsHolderMisses(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	w.relay.HoldDuty(true)
+	w.relay.SetCoordinator(true)
 	w.instances["c"].point.Index = 9
 	for range 15 {
-		w.relay.Doubted("h2", nil, nil)
+		w.relay.AddReachability("h2", nil, nil)
 		w.pass(100*time.Millisecond, true)
 	}
 	w.lose("a")
@@ -150,10 +150,10 @@
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.pass(2*time.Second, true)
-	c.Assert(w.relay.Reached(), qt.HasLen, 0)
-	w.relay.Doubted("h2", []fleet.Instance{"c"}, nil)
+	c.Assert(w.relay.Reachable(), qt.HasLen, 0)
+	w.relay.AddReachability("h2", []fleet.Instance{"c"}, nil)
 	w.pass(100*time.Millisecond, true)
-	c.Assert(w.relay.Reached(), qt.DeepEquals, []fleet.Instance{"c"})
+	c.Assert(w.relay.Reachable(), qt.DeepEquals, []fleet.Instance{"c"})
 }
 
 // A data centre was cut off and is back. Its hosts report again at once, still doubting
@@ -162,15 +162,15 @@
 func TestDoubtsOfAHostThatWasCutOffDontCount(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	w.relay.HoldDuty(true)
+	w.relay.SetCoordinator(true)
 	for range 12 {
-		w.relay.Doubted("h2", nil, nil)
+		w.relay.AddReachability("h2", nil, nil)
 		w.pass(100*time.Millisecond, true)
 	}
 	for range 9 {
-		w.relay.Doubted("h2", nil, nil)
-		w.relay.Doubted("h3", []fleet.Instance{"a"}, nil)
-		w.relay.Doubted("h4", []fleet.Instance{"a"}, nil)
+		w.relay.AddReachability("h2", nil, nil)
+		w.relay.AddReachability("h3", []fleet.Instance{"a"}, nil)
+		w.relay.AddReachability("h4", []fleet.Instance{"a"}, nil)
 		w.pass(100*time.Millisecond, true)
 	}
 	c.Assert(w.orders, qt.HasLen, 0)
@@ -181,18 +181,18 @@
 func TestLeavingPrimaryGoesOnUntilItsSuccessorLeads(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	w.relay.HoldDuty(true)
+	w.relay.SetCoordinator(true)
 	w.list("a")
 	w.pass(100*time.Millisecond, true)
 	c.Assert(w.orders, qt.HasLen, 1)
 	o := w.orders[0]
 	c.Assert(o.Reason, qt.Equals, leader.ReasonLeaving)
-	w.relay.Recorded(leader.Record{Service: service, Term: o.Term, Primary: o.Primary, Former: o.Former, Revision: 7})
+	w.relay.AddRecord(leader.Record{Service: service, Term: o.Term, Primary: o.Primary, Former: o.Former, Revision: 7})
 	x := w.open("rush", "key-1")
 	x.do(statement.KindWrite, "", "before")
 	w.pass(880*time.Millisecond, true)
 	c.Assert(x.last().Digest, qt.Equals, "d-a")
-	w.relay.StepDown(o)
+	w.relay.RequestStepDown(o)
 	w.deliver()
 	x.do(statement.KindWrite, "", "between")
 	c.Assert(x.answers, qt.HasLen, 1)
--- a/core/relay/prove.go
+++ b/core/relay/prove.go
@@ -69,7 +69,7 @@
 	g.samples.Add(s)
 	if g.changing(g.r.now()) && g.sampledAt.Before(g.changedAt) {
 		g.r.note(Event{
-			Kind: EventLeader, Service: g.name, Instance: i, Has: s.Position, Term: s.Reign,
+			Kind: EventLeader, Service: g.name, Instance: i, InstancePoint: s.Position, Term: s.Reign,
 			Choice: "let reads go by its point", Reason: "the first since the order", Age: g.r.now().Sub(s.Asked),
 		})
 	}
@@ -109,21 +109,21 @@
 	if i.term != s.Term && g.changing(now) {
 		g.r.note(Event{
 			Kind: EventInstance, Service: g.name, Instance: i.info.Name, Term: s.Term, Received: s.Received,
-			Has: i.point, Choice: "in a new term", Reason: "it says that it is a " + string(s.Role),
+			InstancePoint: i.point, Choice: "in a new term", Reason: "it says that it is a " + string(s.Role),
 		})
 	}
 	i.received, i.leads, i.term = s.Received, s.Role == fleet.RolePrimary, s.Term
 	i.toldAt, i.termAt = now, asked
 	if p, t, ok := g.belief.Primary(); ok && i.info.Name != p && s.Term > t {
 		// The record of the order that it follows is still to be read.
-		g.r.cfg.Refresh()
+		g.r.cfg.RefreshRecords()
 	}
 	if !g.belief.AddStatus(i.info.Name, s) {
 		return
 	}
 	g.aliveAt, g.settledAt = now, now
 	g.r.note(Event{
-		Kind: EventLeader, Service: g.name, Instance: i.info.Name, Term: s.Term, Has: i.point, Received: s.Received,
+		Kind: EventLeader, Service: g.name, Instance: i.info.Name, Term: s.Term, InstancePoint: i.point, Received: s.Received,
 		Choice: "use as the primary", Reason: "it says that it leads", Age: now.Sub(g.changedAt),
 	})
 }
--- a/core/relay/reign_test.go
+++ b/core/relay/reign_test.go
@@ -33,13 +33,13 @@
 	b.pending, b.hold, other.hold = nil, false, false
 	w.promote().point.Index = 9
 	other.term, a.term, a.role = 2, 2, fleet.RoleReplica
-	w.relay.Recorded(toSuccessor)
+	w.relay.AddRecord(toSuccessor)
 	for _, f := range late[1:] {
 		f()
 	}
 	w.pass(70*time.Millisecond, false)
 	g := w.relay.State().Groups[0]
-	c.Assert(g.Settled && g.Primary == "b", qt.IsTrue)
+	c.Assert(g.PrimaryKnown && g.Primary == "b", qt.IsTrue)
 	late[0]()
 	w.pass(200*time.Millisecond, false)
 	ran, _ := w.reads("stock", 50*time.Millisecond, false)
@@ -52,12 +52,12 @@
 	c := qt.New(t)
 	w, late := lateWord(c)
 	for range 100 {
-		if w.relay.State().Groups[0].Settled {
+		if w.relay.State().Groups[0].PrimaryKnown {
 			break
 		}
 		w.pass(10*time.Millisecond, true)
 	}
-	c.Assert(w.relay.State().Groups[0].Settled, qt.IsTrue)
+	c.Assert(w.relay.State().Groups[0].PrimaryKnown, qt.IsTrue)
 	late()
 	w.deliver()
 	for range 2 {
@@ -78,7 +78,7 @@
 			w.relay.LeaseLost()
 			w.pass(1500*time.Millisecond, false)
 			w.promote().point = fleet.LogPosition{Term: 2, Index: 9}
-			w.relay.Recorded(leader.Record{Service: service, Term: 3, Primary: "c", Former: "a", Revision: 9})
+			w.relay.AddRecord(leader.Record{Service: service, Term: 3, Primary: "c", Former: "a", Revision: 9})
 			w.pass(100*time.Millisecond, true)
 			w.open("rush", "key-1").do(k, "", "item")
 			w.pass(100*time.Millisecond, true)
@@ -120,7 +120,7 @@
 		})
 	}
 	is[0].Started = 99
-	w.relay.Listed(is, w.now)
+	w.relay.SetInstances(is, w.now)
 	ran, _ := w.reads("rush", 100*time.Millisecond, true)
 	c.Assert(ran["a"], qt.Equals, 0)
 }
@@ -145,7 +145,7 @@
 func TestReplicaThatDoesNotJoinIsAskedLessAndLess(t *testing.T) {
 	c := qt.New(t)
 	w := acquainted(c)
-	w.relay.Recorded(toSuccessor)
+	w.relay.AddRecord(toSuccessor)
 	w.pass(1100*time.Millisecond, true)
 	w.promote()
 	w.pass(200*time.Millisecond, true)
@@ -164,7 +164,7 @@
 	w := newWorld(c).settled()
 	w.instances["b"].silent = true
 	w.cut(w.instances["b"])
-	w.relay.Recorded(toSuccessor)
+	w.relay.AddRecord(toSuccessor)
 	ran, _ := w.reads("rush", 100*time.Millisecond, true)
 	c.Assert(ran["a"], qt.Equals, 1)
 }
@@ -176,7 +176,7 @@
 	w := newWorld(c).settled()
 	w.pass(4*time.Second, false)
 	w.instances["c"].role, w.instances["c"].term = fleet.RolePrimary, 2
-	w.relay.Recorded(toSuccessor)
+	w.relay.AddRecord(toSuccessor)
 	w.pass(time.Second, false)
 	ran, _ := w.reads("rush", 100*time.Millisecond, false)
 	c.Assert(ran["a"], qt.Equals, 0)
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -23,30 +23,30 @@
 	Capacity fleet.Capacity
 	// Regions are those of the data centres.
 	Regions map[fleet.DataCentre]fleet.Region
-	// Evacuate is how long after operators have asked for it nothing may reach the instances of an
+	// EvacuationTimeout is how long after operators have asked for it nothing may reach the instances of an
 	// evacuated data centre any more; zero stands for 5 s.
-	Evacuate time.Duration
+	EvacuationTimeout time.Duration
 	// Cold bounds what all hosts together send to an instance that has just started.
 	Cold cold.Bound
 	Now  func() time.Time
-	// Dial has a connection made; Connected, Turned or Lost tells how it went.
+	// Dial has a connection made; ConnOpened, ConnectRefused or ConnClosed tells how it went.
 	Dial func(c *Conn)
 	// Admit takes one operation from an account's rate, or says when to come back.
 	Admit func(a catalog.Account) (wait time.Duration, ok bool)
-	// Return gives an operation back to its account's rate that no instance has run.
-	Return func(a fleet.Account)
+	// Refund gives an operation back to its account's rate that no instance has run.
+	Refund func(a fleet.Account)
 	// ParseStatus reads the answer to a status.
 	ParseStatus func(a statement.Answer) (statement.Status, bool)
-	// Refresh asks for the records of orders to be read anew.
-	Refresh func()
-	// Order has a change of primary made.
-	Order func(o leader.PromotionRequest)
-	// Observe takes in the time that a statement took, with how it ended. It may be nil.
-	Observe func(k catalog.Consistency, code statement.Code, took time.Duration)
-	// Hurry asks for the next tick soon, as something has begun to wait for it.
-	Hurry func()
-	// Note takes in each decision that a reader of the logs may ask for. It may be nil.
-	Note func(e Event)
+	// RefreshRecords asks for the records of orders to be read anew.
+	RefreshRecords func()
+	// RequestPromotion has a change of primary made.
+	RequestPromotion func(o leader.PromotionRequest)
+	// ObserveLatency takes in the time that a statement took, with how it ended. It may be nil.
+	ObserveLatency func(k catalog.Consistency, code statement.Code, took time.Duration)
+	// RequestTick asks for the next tick soon, as something has begun to wait for it.
+	RequestTick func()
+	// LogEvent takes in each decision that a reader of the logs may ask for. It may be nil.
+	LogEvent func(e Event)
 }
 
 // Relay is one host's middle.
@@ -62,7 +62,7 @@
 	hosts      int
 	hostsAt    time.Time
 	key        uint64
-	counts     Counts
+	counts     Counters
 	drain      drain
 	duty       duty
 	forwarding forwarding
@@ -79,8 +79,8 @@
 	confirmed time.Time
 }
 
-// Counts are running totals, for metrics.
-type Counts struct {
+// Counters are running totals, for metrics.
+type Counters struct {
 	Statements    uint64 `json:"statements"`
 	Answered      uint64 `json:"answered"`
 	Refused       uint64 `json:"refused"`
@@ -114,8 +114,8 @@
 // way back, and finds no room on the instances where others have taken its part.
 const hostsFor = 20 * time.Second
 
-// SetHosts tells how many hosts there are, which share the instances' connections.
-func (r *Relay) SetHosts(n int) {
+// SetHostCount tells how many hosts there are, which share the instances' connections.
+func (r *Relay) SetHostCount(n int) {
 	now := r.now()
 	if r.hostsAt.IsZero() || n >= r.hosts || now.Sub(r.hostsAt) > hostsFor {
 		r.hosts, r.hostsAt = max(n, 1), now
@@ -129,8 +129,8 @@
 // LeaseLost takes in that the registration has ended: an order may have been given.
 func (r *Relay) LeaseLost() { r.lease.Lost() }
 
-// Recorded takes in the record of an order.
-func (r *Relay) Recorded(rec leader.Record) {
+// AddRecord takes in the record of an order.
+func (r *Relay) AddRecord(rec leader.Record) {
 	g := r.group(rec.Service)
 	if !g.belief.AddRecord(rec) {
 		return
@@ -145,9 +145,9 @@
 	g.pump()
 }
 
-// Listed takes in all instances as they announce themselves, by a reading that was begun at some
+// SetInstances takes in all instances as they announce themselves, by a reading that was begun at some
 // moment.
-func (r *Relay) Listed(is []catalog.Instance, read time.Time) {
+func (r *Relay) SetInstances(is []catalog.Instance, read time.Time) {
 	by := map[fleet.Service][]catalog.Instance{}
 	for _, i := range is {
 		by[i.Service] = append(by[i.Service], i)
@@ -160,8 +160,8 @@
 	}
 }
 
-// Adopt puts a catalog in force. An older one than that in force is ignored.
-func (r *Relay) Adopt(c *catalog.Catalog) bool {
+// SetCatalog puts a catalog in force. An older one than that in force is ignored.
+func (r *Relay) SetCatalog(c *catalog.Catalog) bool {
 	if !c.Newer(r.catalog) {
 		return false
 	}
@@ -272,13 +272,13 @@
 const pausedAfter = 120 * time.Millisecond
 
 func (r *Relay) hurry() {
-	if r.cfg.Hurry != nil {
-		r.cfg.Hurry()
+	if r.cfg.RequestTick != nil {
+		r.cfg.RequestTick()
 	}
 }
 
-// Waiting reports whether anything waits that a tick may decide on.
-func (r *Relay) Waiting() bool {
+// HasWaiting reports whether anything waits that a tick may decide on.
+func (r *Relay) HasWaiting() bool {
 	for _, g := range r.groups {
 		if len(g.waiting)+len(g.inquiries)+g.proofs.Len() > 0 || !g.unsure.Asked.IsZero() {
 			return true
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -143,15 +143,15 @@
 	w := newWorld(c).settled()
 	w.cut(w.instances["c"])
 	w.instances["c"].refuse = statement.CodeMisrouted
-	w.relay.Doubted("h2", []fleet.Instance{"c"}, nil)
+	w.relay.AddReachability("h2", []fleet.Instance{"c"}, nil)
 	w.pass(50*time.Millisecond, true)
 	for range 20 {
 		w.list()
-		w.relay.Doubted("h2", []fleet.Instance{"c"}, nil)
+		w.relay.AddReachability("h2", []fleet.Instance{"c"}, nil)
 		w.pass(100*time.Millisecond, true)
 	}
 	c.Assert(w.instances["c"].dialled <= 1, qt.IsTrue, qt.Commentf("tried %d times", w.instances["c"].dialled))
-	c.Assert(w.relay.Doubts(), qt.HasLen, 0)
+	c.Assert(w.relay.Unreachable(), qt.HasLen, 0)
 }
 
 // A caller writes, and reads again at once. Replicas are behind; the read has to show the
@@ -238,7 +238,7 @@
 	a := next.Accounts["hotel"]
 	a.Keys = []catalog.Key{"key-2"}
 	next.Accounts["hotel"] = a
-	w.relay.Adopt(next)
+	w.relay.SetCatalog(next)
 	c.Assert(resting.code, qt.Equals, statement.CodeNoAccount)
 	c.Assert(working.closed, qt.IsFalse)
 	c.Assert(other.closed, qt.IsFalse)
@@ -253,9 +253,9 @@
 func TestOlderCatalogIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
-	c.Assert(w.relay.Adopt(w.catalog(5)), qt.IsTrue)
-	c.Assert(w.relay.Adopt(w.catalog(4)), qt.IsFalse)
-	c.Assert(w.relay.Adopt(w.catalog(5)), qt.IsFalse)
+	c.Assert(w.relay.SetCatalog(w.catalog(5)), qt.IsTrue)
+	c.Assert(w.relay.SetCatalog(w.catalog(4)), qt.IsFalse)
+	c.Assert(w.relay.SetCatalog(w.catalog(5)), qt.IsFalse)
 }
 
 // A cut leaves this host with the replaced primary and without the store; others, which it
@@ -267,7 +267,7 @@
 	c := qt.New(t)
 	for missing, want := range []bool{false, true} {
 		w := newWorld(c)
-		w.relay.Listed(append(w.instancesOf("other", "x"), w.instancesOf("third", "y")...), w.now)
+		w.relay.SetInstances(append(w.instancesOf("other", "x"), w.instancesOf("third", "y")...), w.now)
 		w.list()
 		w.settled()
 		rest := w.open("rush", "key-1")
--- a/core/relay/secluded_test.go
+++ b/core/relay/secluded_test.go
@@ -22,7 +22,7 @@
 // seclude lets time go by while no host elsewhere is heard.
 func (w *world) seclude(d time.Duration, renewed bool) {
 	for end := w.now.Add(d); w.now.Before(end); {
-		w.relay.SetSecluded(true)
+		w.relay.SetIsolated(true)
 		w.pass(10*time.Millisecond, renewed)
 	}
 }
--- a/core/relay/session.go
+++ b/core/relay/session.go
@@ -8,10 +8,10 @@
 	"skylarkdeal/core/statement"
 )
 
-// Link is the way to one caller.
-type Link struct {
-	// Started lets the caller in.
-	Started func()
+// CallerConn is the way to one caller.
+type CallerConn struct {
+	// Accept lets the caller in.
+	Accept func()
 	// Answer gives the answer to the statement in progress.
 	Answer func(a statement.Answer)
 	// Reject sends a last message and closes.
@@ -23,7 +23,7 @@
 // Session is one caller's connection.
 type Session struct {
 	r       *Relay
-	link    Link
+	link    CallerConn
 	started bool
 	gone    bool
 	// opened is when the caller connected, turned whether its last operation was refused.
@@ -93,8 +93,8 @@
 // caller can't fill the memory of the host.
 const maxNames = 256
 
-// Open takes in a new caller.
-func (r *Relay) Open(l Link) *Session {
+// OpenSession takes in a new caller.
+func (r *Relay) OpenSession(l CallerConn) *Session {
 	s := &Session{r: r, link: l, prepared: map[string]*prepared{}, opened: r.now()}
 	r.sessions[s] = struct{}{}
 	return s
@@ -115,7 +115,7 @@
 		return
 	}
 	s.started = true
-	s.link.Started()
+	s.link.Accept()
 }
 
 // admitted looks the caller up in the catalog in force.
@@ -176,17 +176,17 @@
 		Choice: "reject", Reason: why, Code: c,
 	})
 	s.link.Reject(c, why)
-	s.Gone()
+	s.Disconnected()
 }
 
 // end closes the connection of a caller that has nothing in progress.
 func (s *Session) end() {
 	s.link.Close()
-	s.Gone()
+	s.Disconnected()
 }
 
-// Gone takes in that the caller's connection has ended.
-func (s *Session) Gone() {
+// Disconnected takes in that the caller's connection has ended.
+func (s *Session) Disconnected() {
 	if s.gone {
 		return
 	}
@@ -208,8 +208,8 @@
 	}
 }
 
-// Unreadable answers a line that isn't one of the protocol's.
-func (s *Session) Unreadable(id statement.ID) {
+// HandleMalformed answers a line that isn't one of the protocol's.
+func (s *Session) HandleMalformed(id statement.ID) {
 	if !s.started || id == "" {
 		s.reject(statement.CodeMalformed, "not a message of the protocol")
 		return
--- a/core/relay/state.go
+++ b/core/relay/state.go
@@ -14,32 +14,32 @@
 type State struct {
 	Catalog  catalog.Version `json:"catalog"`
 	Sessions int             `json:"sessions"`
-	// Certain tells that no change of primary can have taken effect unknown to this host.
-	Certain bool `json:"certain"`
-	Duty    bool `json:"duty"`
-	CutOff  bool `json:"cut-off"`
-	Drains  bool `json:"drains"`
-	Hosts   int  `json:"hosts"`
+	// RecordsCurrent tells that no change of primary can have taken effect unknown to this host.
+	RecordsCurrent bool `json:"certain"`
+	Coordinator    bool `json:"duty"`
+	CutOff         bool `json:"cut-off"`
+	Drains         bool `json:"drains"`
+	Hosts          int  `json:"hosts"`
 	// Evacuated are the data centres whose instances are left alone.
 	Evacuated []fleet.DataCentre `json:"evacuated,omitempty"`
 	Peers     []fleet.Host       `json:"peers"`
-	Counts    Counts             `json:"counts"`
+	Counts    Counters           `json:"counts"`
 	Groups    []GroupState       `json:"groups"`
 }
 
 // GroupState is what a relay knows of one service's instances.
 type GroupState struct {
-	Service fleet.Service  `json:"service"`
-	Primary fleet.Instance `json:"primary"`
-	Term    fleet.Term     `json:"term"`
-	Settled bool           `json:"settled"`
-	// Unable says why the primary can't answer, empty if it can.
-	Unable    string          `json:"unable,omitempty"`
-	Waiting   int             `json:"waiting"`
-	Running   int             `json:"running"`
-	Unproven  int             `json:"unproven"`
-	SampleAge time.Duration   `json:"sample-age"`
-	Instances []InstanceState `json:"instances"`
+	Service      fleet.Service  `json:"service"`
+	Primary      fleet.Instance `json:"primary"`
+	Term         fleet.Term     `json:"term"`
+	PrimaryKnown bool           `json:"settled"`
+	// UnavailableReason says why the primary can't answer, empty if it can.
+	UnavailableReason   string          `json:"unable,omitempty"`
+	Waiting             int             `json:"waiting"`
+	Running             int             `json:"running"`
+	PendingVerification int             `json:"unproven"`
+	SampleAge           time.Duration   `json:"sample-age"`
+	Instances           []InstanceState `json:"instances"`
 }
 
 // InstanceState is what a relay knows of one instance.
@@ -47,8 +47,8 @@
 	Instance    fleet.Instance    `json:"instance"`
 	Position    fleet.LogPosition `json:"point"`
 	Leaving     bool              `json:"leaving"`
-	Gone        bool              `json:"gone"`
-	Doubtful    bool              `json:"doubtful"`
+	Removed     bool              `json:"gone"`
+	Suspected   bool              `json:"doubtful"`
 	Holder      fleet.Host        `json:"holder,omitempty"`
 	Connections int               `json:"connections"`
 	Work        time.Duration     `json:"work"`
@@ -59,7 +59,7 @@
 func (r *Relay) State() State {
 	now := r.now()
 	s := State{
-		Sessions: len(r.sessions), Certain: r.lease.RecordsCurrent(now), Duty: r.duty.holds, CutOff: r.CutOff(),
+		Sessions: len(r.sessions), RecordsCurrent: r.lease.RecordsCurrent(now), Coordinator: r.duty.holds, CutOff: r.CutOff(),
 		Drains: r.drain.on, Hosts: r.hosts, Counts: r.counts,
 	}
 	if r.catalog != nil {
@@ -79,16 +79,16 @@
 
 func (g *group) state(now time.Time) GroupState {
 	s := GroupState{
-		Service: g.name, Unable: g.able(now), Waiting: len(g.waiting), Running: len(g.running), Unproven: g.proofs.Len(),
+		Service: g.name, UnavailableReason: g.able(now), Waiting: len(g.waiting), Running: len(g.running), PendingVerification: g.proofs.Len(),
 	}
-	s.Primary, s.Term, s.Settled = g.belief.Primary()
+	s.Primary, s.Term, s.PrimaryKnown = g.belief.Primary()
 	if n, ok := g.samples.Newest(); ok {
 		s.SampleAge = now.Sub(n.Asked)
 	}
 	for _, i := range g.instances {
 		p, _ := g.r.holder(i)
 		s.Instances = append(s.Instances, InstanceState{
-			Instance: i.info.Name, Position: i.point, Leaving: i.info.Leaving, Gone: i.gone, Doubtful: i.doubtful(now),
+			Instance: i.info.Name, Position: i.point, Leaving: i.info.Leaving, Removed: i.gone, Suspected: i.doubtful(now),
 			Holder: p.Host, Connections: len(i.conns), Work: i.work, Silent: now.Sub(i.lastHeard),
 		})
 	}
--- a/core/relay/transaction_test.go
+++ b/core/relay/transaction_test.go
@@ -159,7 +159,7 @@
 	x.do(statement.KindSet, "zone", "north")
 	w.instances["a"].role = fleet.RoleReplica
 	w.instances["b"].role, w.instances["b"].term = fleet.RolePrimary, 2
-	w.relay.Recorded(leader.Record{Service: service, Term: 2, Primary: "b", Former: "a", Revision: 7})
+	w.relay.AddRecord(leader.Record{Service: service, Term: 2, Primary: "b", Former: "a", Revision: 7})
 	w.pass(200*time.Millisecond, true)
 	id := x.do(statement.KindWrite, "", "item data")
 	w.pass(200*time.Millisecond, true)
--- a/core/relay/warm.go
+++ b/core/relay/warm.go
@@ -78,8 +78,8 @@
 	return known > 0 && cold.MaySend(heard, known)
 }
 
-// ListConfirmed takes in that the list of instances in use here was the store's at a moment.
-func (r *Relay) ListConfirmed(at time.Time) { r.confirmed = later(r.confirmed, at) }
+// InstancesConfirmed takes in that the list of instances in use here was the store's at a moment.
+func (r *Relay) InstancesConfirmed(at time.Time) { r.confirmed = later(r.confirmed, at) }
 
-// SetMembers tells how many hosts each data centre has, heard or not, this one included.
-func (r *Relay) SetMembers(by map[fleet.DataCentre]int) { r.members = by }
+// SetDataCentreSizes tells how many hosts each data centre has, heard or not, this one included.
+func (r *Relay) SetDataCentreSizes(by map[fleet.DataCentre]int) { r.members = by }
--- a/core/relay/warm_test.go
+++ b/core/relay/warm_test.go
@@ -26,7 +26,7 @@
 	for _, n := range is {
 		w.instances[n].cold = 10 * time.Second
 	}
-	w.relay.SetMembers(map[fleet.DataCentre]int{"obihiro": 1})
+	w.relay.SetDataCentreSizes(map[fleet.DataCentre]int{"obihiro": 1})
 	w.list()
 }
 
@@ -75,7 +75,7 @@
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.chill("a")
-	w.relay.SetMembers(map[fleet.DataCentre]int{"obihiro": 5})
+	w.relay.SetDataCentreSizes(map[fleet.DataCentre]int{"obihiro": 5})
 	ran := len(w.instances["a"].ran)
 	x := w.open("rush", "key-1")
 	x.do(statement.KindWrite, "", "item data")
@@ -139,7 +139,7 @@
 func TestWarmReplicaIsPromoted(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	w.relay.HoldDuty(true)
+	w.relay.SetCoordinator(true)
 	w.chill("b")
 	w.list("a")
 	w.pass(500*time.Millisecond, true)
--- a/core/relay/world_test.go
+++ b/core/relay/world_test.go
@@ -43,7 +43,7 @@
 	d.Revision++
 	change(&d)
 	w.laid = &d
-	w.relay.Adopt(&d)
+	w.relay.SetCatalog(&d)
 }
 
 // evacuate has operators evacuate data centres, and no others.
@@ -77,11 +77,11 @@
 			}
 			return 0, true
 		},
-		Return:      func(fleet.Account) { w.returned++ },
-		ParseStatus: parseStatus,
-		Refresh:     func() { w.refreshed++ },
-		Order:       func(o leader.PromotionRequest) { w.orders = append(w.orders, o) },
-		Note:        func(e relay.Event) { w.events = append(w.events, e) },
+		Refund:           func(fleet.Account) { w.returned++ },
+		ParseStatus:      parseStatus,
+		RefreshRecords:   func() { w.refreshed++ },
+		RequestPromotion: func(o leader.PromotionRequest) { w.orders = append(w.orders, o) },
+		LogEvent:         func(e relay.Event) { w.events = append(w.events, e) },
 	})
 	for n, name := range []fleet.Instance{"a", "b", "c"} {
 		i := &node{name: name, role: fleet.RoleReplica, term: 1, point: fleet.LogPosition{Term: 1, Index: 5}}
@@ -92,8 +92,8 @@
 	}
 	w.now = w.now.Add(age)
 	w.laid = w.catalog(1)
-	w.relay.Adopt(w.laid)
-	w.relay.SetHosts(1)
+	w.relay.SetCatalog(w.laid)
+	w.relay.SetHostCount(1)
 	w.list()
 	w.renew()
 	return w
@@ -139,7 +139,7 @@
 			Cold: n.cold,
 		})
 	}
-	w.relay.Listed(is, w.now)
+	w.relay.SetInstances(is, w.now)
 }
 
 // instancesOf makes one instance of another service, which answers as the primary.
@@ -199,11 +199,11 @@
 	}
 	if n.refuse != "" {
 		code := n.refuse
-		n.pending = append(n.pending, func() { w.relay.Turned(c, code, "") })
+		n.pending = append(n.pending, func() { w.relay.ConnectRefused(c, code, "") })
 		return
 	}
 	n.conns = append(n.conns, l)
-	n.pending = append(n.pending, func() { w.relay.Connected(c, n.answer(l, statement.Answer{})) })
+	n.pending = append(n.pending, func() { w.relay.ConnOpened(c, n.answer(l, statement.Answer{})) })
 }
 
 // flush delivers answers, later ones of the same moment too.
@@ -243,11 +243,11 @@
 
 func (w *world) open(d catalog.Database, k catalog.Key) *caller {
 	c := &caller{w: w}
-	c.s = w.relay.Open(relay.Link{
-		Started: func() { c.started = true },
-		Answer:  func(a statement.Answer) { c.answers = append(c.answers, a) },
-		Reject:  func(code statement.Code, _ string) { c.code, c.closed = code, true },
-		Close:   func() { c.closed = true },
+	c.s = w.relay.OpenSession(relay.CallerConn{
+		Accept: func() { c.started = true },
+		Answer: func(a statement.Answer) { c.answers = append(c.answers, a) },
+		Reject: func(code statement.Code, _ string) { c.code, c.closed = code, true },
+		Close:  func() { c.closed = true },
 	})
 	c.s.Start(d, k)
 	return c
@@ -294,7 +294,7 @@
 	for _, l := range slices.Clone(n.conns) {
 		if !l.closed {
 			l.closed = true
-			w.relay.Lost(l.conn, errReset)
+			w.relay.ConnClosed(l.conn, errReset)
 		}
 	}
 	n.conns = nil
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -71,7 +71,7 @@
 	// began is when the host was started.
 	began time.Time
 	// accepted counts the links from other hosts.
-	accepted relay.LinkID
+	accepted relay.PeerLinkID
 	balancer *operator.Server
 	operator *operator.Server
 	// ready is what the balancer is told; the loop writes it.
@@ -95,30 +95,30 @@
 	h.newMetrics()
 	h.began = clock.Now()
 	h.links = map[fleet.Host]*link{}
-	h.following.followers = map[relay.LinkID]*follower{}
+	h.following.followers = map[relay.PeerLinkID]*follower{}
 	h.peers.known = map[fleet.Host]*peer{}
 	h.peers.met = map[fleet.Host]time.Time{}
 	h.peers.epoch = uint64(clock.Now().UnixNano()) //nolint:gosec // never negative
 	h.registry = registry.New(h.registryConfig())
 	h.relay = relay.New(relay.Config{
-		Host:        s.Host.Name,
-		DataCentre:  s.Host.DataCentre,
-		Capacity:    s.Adapter.Capacity,
-		Regions:     s.Regions,
-		Evacuate:    s.Adapter.Evacuate,
-		Cold:        s.Adapter.Cold,
-		Now:         clock.Now,
-		Dial:        h.dial,
-		ParseStatus: platform.ParseStatus,
-		Refresh:     h.registry.Refresh,
+		Host:              s.Host.Name,
+		DataCentre:        s.Host.DataCentre,
+		Capacity:          s.Adapter.Capacity,
+		Regions:           s.Regions,
+		EvacuationTimeout: s.Adapter.Evacuate,
+		Cold:              s.Adapter.Cold,
+		Now:               clock.Now,
+		Dial:              h.dial,
+		ParseStatus:       platform.ParseStatus,
+		RefreshRecords:    h.registry.Refresh,
 		Admit: func(a catalog.Account) (time.Duration, bool) {
 			return h.rates.Admit(clock.Now(), a)
 		},
-		Return:  func(n fleet.Account) { h.rates.Return(n) },
-		Order:   h.registry.Order,
-		Hurry:   h.hurry,
-		Observe: h.observe,
-		Note:    h.events.note,
+		Refund:           func(n fleet.Account) { h.rates.Return(n) },
+		RequestPromotion: h.registry.Order,
+		RequestTick:      h.hurry,
+		ObserveLatency:   h.observe,
+		LogEvent:         h.events.note,
 	})
 	if err := h.listen(); err != nil {
 		return nil, err
@@ -133,7 +133,7 @@
 
 func (h *Host) listen() error {
 	l, err := loop.Start(loop.Config{
-		Address: h.settings.Caller.Address, Accept: h.accept, Tick: h.tick, Every: h.every,
+		Address: h.settings.Caller.Address, Accept: h.accept, Tick: h.tick, TickInterval: h.every,
 		Peers: h.settings.Peer.Address, AcceptPeer: h.acceptPeer,
 		MaxUnread: maxUnread, Logger: h.log,
 	})
@@ -179,20 +179,20 @@
 		ParseInstance:  platform.ParseInstance,
 		Now:            clock.Now,
 		Rank:           func() int { return int(h.rank.Load()) },
-		Post:           func(f func()) { h.loop.Do(f) },
+		Post:           func(f func()) { h.loop.Post(f) },
 		Census:         true,
 		Copied:         h.copied,
 		Role:           h.setRole,
 		Count:          func(n int) { h.following.count = n },
 		Catalog:        h.adopt,
-		Instances:      func(is []catalog.Instance, read time.Time) { h.relay.Listed(is, read) },
+		Instances:      func(is []catalog.Instance, read time.Time) { h.relay.SetInstances(is, read) },
 		Hosts:          h.registered,
-		Record:         func(r leader.Record) { h.relay.Recorded(r) },
+		Record:         func(r leader.Record) { h.relay.AddRecord(r) },
 		Renewed:        h.ownRenewed,
 		Lost:           h.ownLost,
-		Holds:          func(holds bool) { h.relay.HoldDuty(holds) },
-		Ordered:        func(o leader.PromotionRequest, given, refused bool) { h.relay.Ordered(o, given, refused) },
-		StepDown:       func(o leader.PromotionRequest) { h.relay.StepDown(o) },
+		Holds:          func(holds bool) { h.relay.SetCoordinator(holds) },
+		Ordered:        func(o leader.PromotionRequest, given, refused bool) { h.relay.PromotionFinished(o, given, refused) },
+		StepDown:       func(o leader.PromotionRequest) { h.relay.RequestStepDown(o) },
 		Promote:        platform.NewPromotions(s.Adapter.Promotions).Promote,
 		Youth:          youth,
 		PromotionLeast: s.Adapter.PromotionLeast,
@@ -202,7 +202,7 @@
 }
 
 func (h *Host) adopt(c *catalog.Catalog) {
-	if h.relay.Adopt(c) {
+	if h.relay.SetCatalog(c) {
 		h.peers.catalog = uint64(c.Revision)
 		h.log.Info("catalog in force", zap.Uint64("version", uint64(c.Version)),
 			zap.Uint64("revision", uint64(c.Revision)), zap.Int("databases", len(c.Routes)),
@@ -221,12 +221,12 @@
 // hurry shortens the time to the next tick, if it is long.
 func (h *Host) hurry() {
 	if !h.busy.Swap(true) {
-		h.loop.Hurry()
+		h.loop.RequestTick()
 	}
 }
 
 func (h *Host) tick() {
-	h.busy.Store(h.relay.Waiting())
+	h.busy.Store(h.relay.HasWaiting())
 	h.tendLinks()
 	h.relay.Tick()
 	h.report()
@@ -253,11 +253,11 @@
 func (h *Host) Shutdown() error {
 	grace := h.settings.Adapter.Grace - lastMoment
 	h.log.Info("host shuts down", zap.Duration("grace", grace))
-	h.loop.Do(func() { h.relay.Drain(h.settings.Adapter.Grace) })
+	h.loop.Post(func() { h.relay.Drain(h.settings.Adapter.Grace) })
 	ctx, drained := context.WithTimeout(context.Background(), grace)
 	defer drained()
 	pause.Every(ctx, drainedEvery, func() {
-		h.loop.Do(func() {
+		h.loop.Post(func() {
 			if h.relay.Drained() {
 				drained()
 			}
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -72,11 +72,11 @@
 	if n.Term != 0 {
 		f = append(f, zap.Uint64("term", uint64(n.Term)))
 	}
-	if !n.Need.IsZero() {
-		f = append(f, zap.String("need", n.Need.String()))
+	if !n.RequiredPoint.IsZero() {
+		f = append(f, zap.String("need", n.RequiredPoint.String()))
 	}
-	if !n.Has.IsZero() {
-		f = append(f, zap.String("has", n.Has.String()))
+	if !n.InstancePoint.IsZero() {
+		f = append(f, zap.String("has", n.InstancePoint.String()))
 	}
 	if !n.Received.IsZero() {
 		f = append(f, zap.String("received", n.Received.String()))
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -44,7 +44,7 @@
 
 	copies    follow.Copies[[]registry.Entry]
 	own       time.Time
-	followers map[relay.LinkID]*follower
+	followers map[relay.PeerLinkID]*follower
 }
 
 // follower is a host that follows this one.
@@ -85,7 +85,7 @@
 		}
 		return
 	}
-	if h.reads() && (h.relay.HoldsDuty() || h.relay.Draining()) {
+	if h.reads() && (h.relay.IsCoordinator() || h.relay.Draining()) {
 		return
 	}
 	self := follow.Candidate{
@@ -205,7 +205,7 @@
 		}
 		h.registry.Take(p, c)
 		if p == follow.PartInstances {
-			h.relay.ListConfirmed(c.Read)
+			h.relay.InstancesConfirmed(c.Read)
 		}
 	}
 	if n.Renewed.IsZero() {
@@ -244,7 +244,7 @@
 }
 
 // followed takes in a host's question for news.
-func (h *Host) followed(l relay.LinkID, q forward.Follow, write func(b []byte)) {
+func (h *Host) followed(l relay.PeerLinkID, q forward.Follow, write func(b []byte)) {
 	f := h.following.followers[l]
 	if f == nil {
 		f = &follower{has: map[follow.Part]follow.Version{}, write: write}
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -117,8 +117,8 @@
 		}
 	}
 	h.relay.SetPeers(usable, missing)
-	h.relay.SetUnsure(h.unsure(now, len(usable)))
-	h.relay.SetSecluded(h.secluded(now, silent))
+	h.relay.SetPeersIncomplete(h.unsure(now, len(usable)))
+	h.relay.SetIsolated(h.secluded(now, silent))
 	if missing > 0 && h.reads() && now.Sub(h.peers.looked) > lookEvery+time.Duration(h.rank.Load())*lookStep {
 		// One that has died is off the list by now, and its share of rates is free again.
 		h.peers.looked = now
@@ -250,7 +250,7 @@
 		Request: func(relay.Forward) {},
 		Reply: func(id uint64, a statement.Answer) {
 			l.heard = clock.Now()
-			h.relay.ForwardAnswered(l.host, id, a)
+			h.relay.HandleForwardAnswer(l.host, id, a)
 		},
 		Follow: func(forward.Follow) {},
 		News: func(n forward.News) {
@@ -286,7 +286,7 @@
 			if from == "" {
 				return
 			}
-			h.relay.Forwarded(id, f, func(a statement.Answer) {
+			h.relay.HandleForward(id, f, func(a statement.Answer) {
 				out = forward.AppendReply(out[:0], f.Stream, a)
 				c.Write(out)
 			})
@@ -303,6 +303,6 @@
 	c.Data = h.reader("another host", in.Take, func(error) { c.Close() })
 	c.Closed = func(error) {
 		delete(h.following.followers, id)
-		h.relay.GuestsGone(id)
+		h.relay.InboundLinkClosed(id)
 	}
 }
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -53,22 +53,22 @@
 // counters are the relay's running totals.
 var counters = []struct {
 	desc *prometheus.Desc
-	read func(c relay.Counts) uint64
+	read func(c relay.Counters) uint64
 }{
 	{counter("statements", "Statements of callers."),
-		func(c relay.Counts) uint64 { return c.Statements }},
+		func(c relay.Counters) uint64 { return c.Statements }},
 	{counter("refused", "Statements refused, not run."),
-		func(c relay.Counts) uint64 { return c.Refused }},
+		func(c relay.Counters) uint64 { return c.Refused }},
 	{counter("retried", "Statements sent off again, as they had not run."),
-		func(c relay.Counts) uint64 { return c.Retried }},
+		func(c relay.Counters) uint64 { return c.Retried }},
 	{counter("in_doubt", "Writes whose outcome is unknown."),
-		func(c relay.Counts) uint64 { return c.InDoubt }},
+		func(c relay.Counters) uint64 { return c.InDoubt }},
 	{counter("connects", "Connections made to instances."),
-		func(c relay.Counts) uint64 { return c.Connects }},
+		func(c relay.Counters) uint64 { return c.Connects }},
 	{counter("own_statements", "Statements of the proxy's own."),
-		func(c relay.Counts) uint64 { return c.OwnStatements }},
+		func(c relay.Counters) uint64 { return c.OwnStatements }},
 	{counter("questions", "Questions to instances what they are."),
-		func(c relay.Counts) uint64 { return c.Asked }},
+		func(c relay.Counters) uint64 { return c.Asked }},
 }
 
 func counter(name, help string) *prometheus.Desc {
@@ -103,7 +103,7 @@
 // snapshot reads the relay on its loop.
 func (h *Host) snapshot() relay.State {
 	got := make(chan relay.State, 1)
-	h.loop.Do(func() { got <- h.relay.State() })
+	h.loop.Post(func() { got <- h.relay.State() })
 	select {
 	case s := <-got:
 		return s
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -35,8 +35,8 @@
 	}
 	h.peers.checked = now
 	h.pass(now)
-	doubts := h.relay.Doubts()
-	reached := h.relay.Reached()
+	doubts := h.relay.Unreachable()
+	reached := h.relay.Reachable()
 	news := len(doubts) > h.peers.doubted || len(reached) > h.peers.reached ||
 		h.peers.catalog != h.peers.told || h.peers.toldRole != h.following.role
 	early := now.Sub(h.peers.reported) < mesh.PaceOf(h.peers.size()).Report && !news
@@ -55,7 +55,7 @@
 	r := gossip.Report{
 		Host: h.settings.Host.Name, Leaving: h.relay.Draining(), Epoch: h.peers.epoch, Seq: h.peers.seq,
 		Reads: h.reads(), Storeless: h.reads() && !h.registry.Up(), Capacity: h.settings.Adapter.Capacity,
-		Usages: h.rates.Usage(now, whole), Catalog: h.peers.catalog, Record: h.relay.Record(),
+		Usages: h.rates.Usage(now, whole), Catalog: h.peers.catalog, Record: h.relay.RecordRevision(),
 		CatalogAge: now.Sub(h.registry.Read()), Reached: reached,
 		Instances: digest, InstancesAge: now.Sub(at),
 	}
@@ -94,7 +94,7 @@
 
 // heard takes in other hosts' reports. A door passes on those that came to it directly.
 func (h *Host) heard(rs []gossip.Report, passed bool) {
-	h.loop.Do(func() {
+	h.loop.Post(func() {
 		for _, r := range rs {
 			if passed {
 				h.peers.passedBy(r)
@@ -146,8 +146,8 @@
 	for _, d := range r.Doubts {
 		is = append(is, d.Instance)
 	}
-	h.relay.Doubted(r.Host, is, r.Reached)
-	if r.Record > h.relay.Record() {
+	h.relay.AddReachability(r.Host, is, r.Reached)
+	if r.Record > h.relay.RecordRevision() {
 		h.registry.Refresh()
 	}
 	h.compareCatalog(r)
@@ -162,7 +162,7 @@
 func (h *Host) compareCatalog(r gossip.Report) {
 	now := clock.Now()
 	if at := now.Add(-r.InstancesAge); r.InstancesAge < catalogFresh && h.registry.ListingConfirmed(r.Instances, at) {
-		h.relay.ListConfirmed(at)
+		h.relay.InstancesConfirmed(at)
 	}
 	if r.Catalog <= uint64(h.registry.CatalogRevision()) {
 		h.peers.behind = time.Time{}
--- a/internal/entry/wires.go
+++ b/internal/entry/wires.go
@@ -36,8 +36,8 @@
 		out = b[:0]
 		c.Write(b)
 	}
-	s = h.relay.Open(relay.Link{
-		Started: func() { write(platform.AppendStarted(out)) },
+	s = h.relay.OpenSession(relay.CallerConn{
+		Accept: func() { write(platform.AppendStarted(out)) },
 		Answer: func(a statement.Answer) {
 			write(platform.AppendAnswer(out, a))
 			c.Resume()
@@ -56,11 +56,11 @@
 				c.Pause()
 			}
 		},
-		Unreadable: s.Unreadable,
+		Unreadable: s.HandleMalformed,
 		Bye:        c.Close,
 	}
 	c.Data = h.reader("caller", in.Take, func(error) { c.Close() })
-	c.Closed = func(error) { s.Gone() }
+	c.Closed = func(error) { s.Disconnected() }
 }
 
 // dial joins a connection to an instance and the relay's view of it.
@@ -72,12 +72,12 @@
 		Answer: func(a statement.Answer) {
 			if !standing {
 				standing = true
-				h.relay.Connected(c, a)
+				h.relay.ConnOpened(c, a)
 				return
 			}
-			h.relay.Answered(c, a)
+			h.relay.HandleAnswer(c, a)
 		},
-		Turned: func(code statement.Code, detail string) { h.relay.Turned(c, code, detail) },
+		Turned: func(code statement.Code, detail string) { h.relay.ConnectRefused(c, code, detail) },
 	}
 	c.Send = func(qs []statement.Statement) {
 		out = platform.AppendStatements(out[:0], qs)
@@ -85,7 +85,7 @@
 	}
 	c.Close = l.Close
 	l.Opened = func() { l.Write(platform.AppendConnect(nil, c.Service, c.Account, c.Instance)) }
-	lost := func(err error) { h.relay.Lost(c, err) }
+	lost := func(err error) { h.relay.ConnClosed(c, err) }
 	l.Data = h.reader("instance "+string(c.Instance), in.Take, lost)
 	l.Closed = lost
 	h.loop.Dial(l, c.Address, dialTimeout)
--- a/io/loop/conn.go
+++ b/io/loop/conn.go
@@ -40,7 +40,7 @@
 			err = l.enroll(c, nc)
 		}
 		if err != nil {
-			l.Do(func() { c.closed(failure.At(err, "connect", failure.Peer(address))) })
+			l.Post(func() { c.closed(failure.At(err, "connect", failure.Peer(address))) })
 		}
 	}()
 }
@@ -132,7 +132,7 @@
 		return
 	}
 	c.paused = false
-	c.loop.Do(c.pass)
+	c.loop.Post(c.pass)
 }
 
 // OnClose is called by gnet when a connection has ended.
--- a/io/loop/loop.go
+++ b/io/loop/loop.go
@@ -34,9 +34,9 @@
 	// Peers is where other hosts connect, AcceptPeer what takes their connections.
 	Peers      string
 	AcceptPeer func(c *Conn)
-	// Tick is called after each span that Every returns.
-	Tick  func()
-	Every func() time.Duration
+	// Tick is called after each span that TickInterval returns.
+	Tick         func()
+	TickInterval func() time.Duration
 	// MaxUnread bounds the bytes that wait for a peer which doesn't read; beyond it
 	// the connection is closed.
 	MaxUnread int
@@ -55,7 +55,7 @@
 	// home is the event loop; it is set once settled is closed.
 	home    gnet.EventLoop
 	settled chan struct{}
-	// hurry tells that Every may return less now.
+	// hurry tells that TickInterval may return less now.
 	hurry chan struct{}
 	// ticking is set while a tick waits for the loop, so that a busy loop isn't given
 	// ticks faster than it takes them.
@@ -123,30 +123,30 @@
 }
 
 func (l *Loop) tick() {
-	t := time.NewTimer(l.cfg.Every())
+	t := time.NewTimer(l.cfg.TickInterval())
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
 		case <-l.hurry:
-			t.Reset(l.cfg.Every())
+			t.Reset(l.cfg.TickInterval())
 			continue
 		case <-l.ended:
 			return
 		}
-		t.Reset(l.cfg.Every())
+		t.Reset(l.cfg.TickInterval())
 		if l.ticking.Swap(true) {
 			continue
 		}
-		l.Do(func() {
+		l.Post(func() {
 			l.ticking.Store(false)
 			l.cfg.Tick()
 		})
 	}
 }
 
-// Hurry has Every asked again before the next tick.
-func (l *Loop) Hurry() {
+// RequestTick has TickInterval asked again before the next tick.
+func (l *Loop) RequestTick() {
 	select {
 	case l.hurry <- struct{}{}:
 	default:
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// Do has f called on the loop. After the loop has stopped it does nothing.
-func (l *Loop) Do(f func()) {
+// Post has f called on the loop. After the loop has stopped it does nothing.
+func (l *Loop) Post(f func()) {
 	_ = l.home.Execute(context.Background(), runnable(f))
 }
 
--- a/io/loop/loop_test.go
+++ b/io/loop/loop_test.go
@@ -52,7 +52,7 @@
 			time.AfterFunc(10*time.Millisecond, func() {
 				l := <-started
 				started <- l
-				l.Do(func() {
+				l.Post(func() {
 					k.Write([]byte("answer to " + line + "\n"))
 					k.Resume()
 				})
@@ -104,7 +104,7 @@
 	k := &loop.Conn{Opened: func() { c.Error("a connection that was given up has opened") }}
 	closed := make(chan struct{})
 	k.Closed = func(error) { close(closed) }
-	l.Do(func() {
+	l.Post(func() {
 		l.Dial(k, at, time.Second)
 		k.Close()
 	})
@@ -146,7 +146,7 @@
 	l, _ := start(c, loop.Config{
 		Accept: func(*loop.Conn) {},
 		Tick:   func() { ticks <- time.Now() },
-		Every: func() time.Duration {
+		TickInterval: func() time.Duration {
 			select {
 			case <-slow:
 				return 5 * time.Millisecond
@@ -156,7 +156,7 @@
 		},
 	})
 	close(slow)
-	l.Hurry()
+	l.RequestTick()
 	for range 3 {
 		select {
 		case <-ticks:
