--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -90,7 +90,7 @@
 	}
 	self := follow.Candidate{
 		Host: h.settings.Host.Name, Capacity: h.settings.Adapter.Capacity, Reads: h.reads(),
-		Storeless: !h.registry.Up(),
+		Storeless: !h.registry.StoreReachable(),
 	}
 	h.setRole(follow.Choose(now, follow.Standing{
 		Self: self, Others: h.candidates(now), Since: h.following.since, Renewed: h.following.renewed,
@@ -203,7 +203,7 @@
 			h.meetAll(h.registry.ParseHosts(c.Body))
 			continue
 		}
-		h.registry.Take(p, c)
+		h.registry.ApplyPart(p, c)
 		if p == follow.PartInstances {
 			h.relay.InstancesConfirmed(c.Read)
 		}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -235,7 +235,7 @@
 
 // hostsChanged tells how many hosts there are, and which.
 func (h *Host) hostsChanged() {
-	h.registry.SetSize(h.peers.size())
+	h.registry.SetHostCount(h.peers.size())
 	h.relay.SetHostCount(1 + len(h.peers.addresses))
 	h.relay.SetDataCentreSizes(h.membersBy())
 	h.rates.Members(clock.Now(), slices.Collect(maps.Keys(h.peers.addresses)))
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -51,12 +51,12 @@
 	if whole {
 		h.peers.whole = h.peers.size()
 	}
-	digest, at := h.registry.Listing()
+	digest, at := h.registry.InstancesDigest()
 	r := gossip.Report{
 		Host: h.settings.Host.Name, Leaving: h.relay.Draining(), Epoch: h.peers.epoch, Seq: h.peers.seq,
-		Reads: h.reads(), Storeless: h.reads() && !h.registry.Up(), Capacity: h.settings.Adapter.Capacity,
+		Reads: h.reads(), Storeless: h.reads() && !h.registry.StoreReachable(), Capacity: h.settings.Adapter.Capacity,
 		Usages: h.rates.Usage(now, whole), Catalog: h.peers.catalog, Record: h.relay.RecordRevision(),
-		CatalogAge: now.Sub(h.registry.Read()), Reached: reached,
+		CatalogAge: now.Sub(h.registry.CatalogReadAt()), Reached: reached,
 		Instances: digest, InstancesAge: now.Sub(at),
 	}
 	if whole {
@@ -148,7 +148,7 @@
 	}
 	h.relay.AddReachability(r.Host, is, r.Reached)
 	if r.Record > h.relay.RecordRevision() {
-		h.registry.Refresh()
+		h.registry.RefreshRecords()
 	}
 	h.compareCatalog(r)
 }
@@ -161,7 +161,7 @@
 // of a large fleet. The catalog is then read that much later than it should.
 func (h *Host) compareCatalog(r gossip.Report) {
 	now := clock.Now()
-	if at := now.Add(-r.InstancesAge); r.InstancesAge < catalogFresh && h.registry.ListingConfirmed(r.Instances, at) {
+	if at := now.Add(-r.InstancesAge); r.InstancesAge < catalogFresh && h.registry.InstancesConfirmed(r.Instances, at) {
 		h.relay.InstancesConfirmed(at)
 	}
 	if r.Catalog <= uint64(h.registry.CatalogRevision()) {
@@ -177,7 +177,7 @@
 	}
 	if now.Sub(h.peers.behind) > behindFor {
 		h.peers.behind = now
-		h.registry.Reload()
+		h.registry.ReloadCatalog()
 	}
 }
 
--- a/io/registry/catalog.go
+++ b/io/registry/catalog.go
@@ -62,16 +62,16 @@
 	}
 	now, news := r.written.events(es, max(at, after))
 	// A watch tells of the moment at which it answers, which isn't known here.
-	r.handOn(now, news, r.Read())
+	r.handOn(now, news, r.CatalogReadAt())
 	return max(at, after), nil
 }
 
 // CatalogConfirmed takes in that the catalog in force here was the store's at a moment.
 func (r *Registry) CatalogConfirmed(at time.Time) { latest(&r.confirmed, at) }
 
-// Read returns when this host last read the catalog. As with the list of instances, what
+// CatalogReadAt returns when this host last read the catalog. As with the list of instances, what
 // others have told of their readings is not told on.
-func (r *Registry) Read() time.Time {
+func (r *Registry) CatalogReadAt() time.Time {
 	at, _ := r.read.Load().(time.Time)
 	return at
 }
--- a/io/registry/census.go
+++ b/io/registry/census.go
@@ -134,7 +134,7 @@
 	}
 	r.cfg.Post(func() {
 		r.cfg.Hosts(known)
-		r.cfg.Count(x.count)
+		r.cfg.HostCount(x.count)
 	})
 	return x, nil
 }
@@ -148,8 +148,8 @@
 	return fmt.Sprint(out.Sorted())
 }
 
-// SetSize tells how many hosts there are.
-func (r *Registry) SetSize(n int) { r.size.Store(int64(n)) }
+// SetHostCount tells how many hosts there are.
+func (r *Registry) SetHostCount(n int) { r.size.Store(int64(n)) }
 
 const (
 	// sizeAfter is how long after its start a host takes the number of hosts that it knows for
@@ -161,7 +161,7 @@
 // keepSize keeps the number of hosts in the store, as far as it tells a large fleet from a small
 // one, and in a large one which hosts are registered. The holder of the duty does so.
 func (r *Registry) keepSize(ctx context.Context) {
-	if !r.cfg.Census {
+	if !r.cfg.ElectReaders {
 		return
 	}
 	pause.Every(ctx, sizeEvery, func() {
--- a/io/registry/duty.go
+++ b/io/registry/duty.go
@@ -54,7 +54,7 @@
 func (r *Registry) holdDuty(ctx context.Context) {
 	var after Revision
 	for ctx.Err() == nil {
-		l := Lease(r.lease.Load())
+		l := LeaseID(r.lease.Load())
 		if l == 0 {
 			pause.For(ctx, pauseAfterError)
 			continue
@@ -79,7 +79,7 @@
 // while hosts are restarted in turn. One that has just come back has never met that primary,
 // and takes the group for one whose primary is still to be found, seconds longer than the
 // others know that it is lost.
-func (r *Registry) takeDuty(ctx context.Context, l Lease) (Revision, error) {
+func (r *Registry) takeDuty(ctx context.Context, l LeaseID) (Revision, error) {
 	c, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	es, at, err := r.cfg.Store.List(c, r.dutyKey())
@@ -91,7 +91,7 @@
 		return at, nil
 	}
 	r.ownDuty(Entry{})
-	if young := r.cfg.Youth - time.Since(r.began); young > 0 {
+	if young := r.cfg.CoordinatorDelay - time.Since(r.began); young > 0 {
 		pause.For(ctx, young)
 		return 0, nil
 	}
@@ -123,11 +123,11 @@
 		}
 	}
 	var fence uint64
-	if l := Lease(r.lease.Load()); l != 0 && holder == r.cfg.Self.Name && e.Lease == l {
+	if l := LeaseID(r.lease.Load()); l != 0 && holder == r.cfg.Self.Name && e.Lease == l {
 		fence = uint64(e.Created)
 	}
 	if r.fence.Swap(fence) != fence {
-		r.cfg.Post(func() { r.cfg.Holds(fence != 0) })
+		r.cfg.Post(func() { r.cfg.CoordinatorChanged(fence != 0) })
 	}
 }
 
@@ -148,8 +148,8 @@
 	return max(at, after), nil
 }
 
-// Order has a change of primary made.
-func (r *Registry) Order(o leader.PromotionRequest) {
+// RequestPromotion has a change of primary made.
+func (r *Registry) RequestPromotion(o leader.PromotionRequest) {
 	if !r.orders.TryPut(o) {
 		r.cfg.Logger.Error("order dropped: too many wait", zap.String("service", string(o.Service)))
 	}
@@ -182,7 +182,7 @@
 	} else {
 		r.cfg.Logger.Info("order given", f...)
 	}
-	r.cfg.Post(func() { r.cfg.Ordered(o, err == nil, refused) })
+	r.cfg.Post(func() { r.cfg.PromotionFinished(o, err == nil, refused) })
 }
 
 // order writes the record, ends the other hosts' registrations and only then gives the
@@ -281,7 +281,7 @@
 
 func (r *Registry) endOther(ctx context.Context, h Host) error {
 	for {
-		err := r.cfg.Store.End(ctx, h.Lease)
+		err := r.cfg.Store.Revoke(ctx, h.Lease)
 		if err == nil || ctx.Err() != nil {
 			return failure.At(err, "end a registration", failure.Peer("host "+string(h.Name)))
 		}
--- a/io/registry/follow.go
+++ b/io/registry/follow.go
@@ -24,9 +24,9 @@
 	signal(r.changed)
 }
 
-// Take takes in a part of the store that another host has read, under a moment of this host's
+// ApplyPart takes in a part of the store that another host has read, under a moment of this host's
 // clock that isn't after its reading.
-func (r *Registry) Take(p follow.Part, c follow.Copy[[]Entry]) {
+func (r *Registry) ApplyPart(p follow.Part, c follow.Copy[[]Entry]) {
 	switch p {
 	case follow.PartCatalog:
 		if c.Whole {
@@ -50,9 +50,9 @@
 
 // copied hands on a part of the store for the hosts that follow this one.
 func (r *Registry) copied(p follow.Part, v follow.Version, read time.Time, es []Entry) {
-	if r.cfg.Copied == nil || r.Role() != follow.RoleReader {
+	if r.cfg.PartRead == nil || r.Role() != follow.RoleReader {
 		return
 	}
 	c := follow.Copy[[]Entry]{Version: v, Read: read, Whole: true, Body: es}
-	r.cfg.Post(func() { r.cfg.Copied(p, c) })
+	r.cfg.Post(func() { r.cfg.PartRead(p, c) })
 }
--- a/io/registry/follow_test.go
+++ b/io/registry/follow_test.go
@@ -23,9 +23,9 @@
 func joinLarge(c *qt.C, s *shelf) (*registry.Registry, *seen, *roles) {
 	t, x := &seen{}, &roles{}
 	cfg := config(s, t, 0, time.Second, 0)
-	cfg.Census, cfg.Count = true, func(n int) { x.count = n }
+	cfg.ElectReaders, cfg.HostCount = true, func(n int) { x.count = n }
 	cfg.Role = func(r follow.Role) { x.role = r }
-	cfg.Copied = func(p follow.Part, o follow.Copy[[]registry.Entry]) { x.copies.Put(p, o.Version, o.Read, o.Body) }
+	cfg.PartRead = func(p follow.Part, o follow.Copy[[]registry.Entry]) { x.copies.Put(p, o.Version, o.Read, o.Body) }
 	return start(c, cfg), t, x
 }
 
@@ -102,7 +102,7 @@
 	s := newShelf()
 	s.put("our/hosts-count", "295")
 	r, got, _ := joinLarge(c, s)
-	r.SetSize(295)
+	r.SetHostCount(295)
 	until(c, got, "the duty", func() bool { return len(got.holds) > 0 && got.holds[len(got.holds)-1] })
 	told := func() (told string) {
 		s.set(func() { told = string(s.entries["our/hosts-readers"].Value) })
@@ -154,12 +154,12 @@
 	s.put("our/primaries/orders", `{"service":"orders","term":2,"primary":"b"}`)
 	got := &seen{}
 	cfg := config(s, got, 0, time.Second, 0)
-	cfg.Census, cfg.Role, cfg.Count = true, func(follow.Role) {}, func(int) {}
+	cfg.ElectReaders, cfg.Role, cfg.HostCount = true, func(follow.Role) {}, func(int) {}
 	copied, early := false, false
-	cfg.Copied = func(p follow.Part, o follow.Copy[[]registry.Entry]) {
+	cfg.PartRead = func(p follow.Part, o follow.Copy[[]registry.Entry]) {
 		copied = copied || p == follow.PartRecords && len(o.Body) == 1
 	}
-	cfg.Renewed = func(time.Time) { early = early || !copied; got.renewed++ }
+	cfg.RegistrationRenewed = func(time.Time) { early = early || !copied; got.renewed++ }
 	start(c, cfg)
 	until(c, got, "renewals", func() bool { return got.renewed > 1 })
 	got.get(func() { c.Check(early, qt.IsFalse) })
@@ -174,7 +174,7 @@
 	r, got, x := joinLarge(c, s)
 	until(c, got, "a role", func() bool { return x.role != "" })
 	take := func(p follow.Part, e registry.Entry) {
-		r.Take(p, follow.Copy[[]registry.Entry]{Version: 9, Read: time.Now(), Whole: true, Body: []registry.Entry{e}})
+		r.ApplyPart(p, follow.Copy[[]registry.Entry]{Version: 9, Read: time.Now(), Whole: true, Body: []registry.Entry{e}})
 	}
 	take(follow.PartCatalog, registry.Entry{Key: "catalog", Value: []byte("7"), Revision: 9})
 	take(follow.PartCatalog, registry.Entry{Key: "catalog", Value: []byte("rubbish"), Revision: 10})
@@ -205,7 +205,7 @@
 		Key: "our/primaries/ledger", Value: []byte(`{"service":"ledger","term":2}`), Revision: 1,
 	}
 	s.mu.Unlock()
-	r.Refresh()
+	r.RefreshRecords()
 	until(c, got, "the other one", func() bool { return records() == 2 })
 }
 
@@ -231,7 +231,7 @@
 	s.put("our/hosts-readers", `[{"name":"h-x","data-centre":"obihiro","address":"127.0.0.1:1"},`+
 		`{"name":"h-far","data-centre":"sapporo","address":"127.0.0.1:2"}]`)
 	r, got, x := joinLarge(c, s)
-	r.SetSize(295)
+	r.SetHostCount(295)
 	until(c, got, "a role", func() bool { return x.role != "" })
 	s.registered("h-new")
 	until(c, got, "the duty", func() bool { return len(got.holds) > 0 && got.holds[len(got.holds)-1] })
--- a/io/registry/lists.go
+++ b/io/registry/lists.go
@@ -23,14 +23,14 @@
 	read, confirmed time.Time
 }
 
-// Listing returns the digest of the list of instances that is in use here, and when this host
+// InstancesDigest returns the digest of the list of instances that is in use here, and when this host
 // read it.
 //
 // What other hosts have told of their readings is not told on. The time that a report takes on
 // its way isn't known, and would be left out at each step: a reading told from host to host
 // stayed young for ever, nobody read again, and an instance that was leaving was used until it
 // ended.
-func (r *Registry) Listing() (uint64, time.Time) {
+func (r *Registry) InstancesDigest() (uint64, time.Time) {
 	r.listing.mu.Lock()
 	defer r.listing.mu.Unlock()
 	return r.listing.digest, r.listing.read
@@ -43,9 +43,9 @@
 	return r.listing.digest, r.listing.confirmed
 }
 
-// ListingConfirmed takes in that a list with the digest was the store's at a moment, and reports
+// InstancesConfirmed takes in that a list with the digest was the store's at a moment, and reports
 // whether it is the one in use here. One that is newer than this host's has it read anew at once.
-func (r *Registry) ListingConfirmed(digest uint64, at time.Time) bool {
+func (r *Registry) InstancesConfirmed(digest uint64, at time.Time) bool {
 	r.listing.mu.Lock()
 	defer r.listing.mu.Unlock()
 	same := digest == r.listing.digest
--- a/io/registry/registry.go
+++ b/io/registry/registry.go
@@ -27,7 +27,7 @@
 	// Capacity is what it can carry.
 	Capacity fleet.Capacity `json:"capacity,omitempty"`
 	// Lease is that of its registration.
-	Lease Lease `json:"lease"`
+	Lease LeaseID `json:"lease"`
 }
 
 // Config is what a Registry works with. The functions from Catalog on are called by
@@ -48,38 +48,38 @@
 	Rank func() int
 	// Post has f called where the host takes decisions.
 	Post func(f func())
-	// Census has the registry find out by itself whether it reads the store at first, or follows
+	// ElectReaders has the registry find out by itself whether it reads the store at first, or follows
 	// a host that does. Without it, it reads.
-	Census bool
-	// Copied takes in each part of the store as it was read, for the hosts that follow this one.
+	ElectReaders bool
+	// PartRead takes in each part of the store as it was read, for the hosts that follow this one.
 	// It may be nil. Role takes in the role that the registry begins with.
-	Copied func(p follow.Part, c follow.Copy[[]Entry])
-	Role   func(x follow.Role)
+	PartRead func(p follow.Part, c follow.Copy[[]Entry])
+	Role     func(x follow.Role)
 
 	Catalog func(c *catalog.Catalog)
 	// Instances tells of a reading of the list of instances that was begun at a moment.
 	Instances func(is []catalog.Instance, read time.Time)
 	Hosts     func(hs []Host)
-	// Count tells how many hosts there were when that was last written, zero if it never was. It
-	// goes with Census.
-	Count  func(n int)
-	Record func(r leader.Record)
-	// Renewed tells of a renewal, sent at a moment, that has succeeded; Lost that the
+	// HostCount tells how many hosts there were when that was last written, zero if it never was. It
+	// goes with ElectReaders.
+	HostCount func(n int)
+	Record    func(r leader.Record)
+	// RegistrationRenewed tells of a renewal, sent at a moment, that has succeeded; RegistrationLost that the
 	// registration has ended.
-	Renewed func(sent time.Time)
-	Lost    func()
-	// Holds tells whether this host has the duty to order changes of primary.
-	Holds func(holds bool)
-	// Ordered tells how an order has gone: given with success, or refused because its
+	RegistrationRenewed func(sent time.Time)
+	RegistrationLost    func()
+	// CoordinatorChanged tells whether this host has the duty to order changes of primary.
+	CoordinatorChanged func(holds bool)
+	// PromotionFinished tells how an order has gone: given with success, or refused because its
 	// instance isn't running.
-	Ordered func(o leader.PromotionRequest, given, refused bool)
+	PromotionFinished func(o leader.PromotionRequest, given, refused bool)
 	// StepDown is called shortly before an order for a leaving primary takes effect.
 	StepDown func(o leader.PromotionRequest)
 
 	// Promote gives an order to the platform. It is called on a goroutine of its own.
 	Promote func(ctx context.Context, p Promotion) error
-	// Youth is how long after its start the host leaves the duty to others.
-	Youth time.Duration
+	// CoordinatorDelay is how long after its start the host leaves the duty to others.
+	CoordinatorDelay time.Duration
 	// PromotionLeast is the least time that the platform takes to carry one out, PromotionDelay
 	// what it usually takes.
 	PromotionLeast, PromotionDelay time.Duration
@@ -192,7 +192,7 @@
 
 // Run carries out the duties of the host's role until ctx ends.
 func (r *Registry) Run(ctx context.Context) {
-	if r.cfg.Census {
+	if r.cfg.ElectReaders {
 		x := r.census(ctx)
 		r.SetRole(x)
 		r.cfg.Post(func() { r.cfg.Role(x) })
@@ -232,28 +232,28 @@
 }
 
 func (r *Registry) deregister() {
-	if l := Lease(r.lease.Load()); l != 0 {
+	if l := LeaseID(r.lease.Load()); l != 0 {
 		c, cancel := context.WithTimeout(context.Background(), pauseAfterError)
 		defer cancel()
 		// The lease runs out by itself where this call fails.
-		if err := r.cfg.Store.End(c, l); err != nil {
+		if err := r.cfg.Store.Revoke(c, l); err != nil {
 			r.cfg.Logger.Debug("registration not ended", zap.Error(err))
 		}
 		r.leave()
 	}
 }
 
-// Refresh has the records read anew.
-func (r *Registry) Refresh() { signal(r.relist) }
+// RefreshRecords has the records read anew.
+func (r *Registry) RefreshRecords() { signal(r.relist) }
 
 // ListHosts has the registered hosts listed anew.
 func (r *Registry) ListHosts() { signal(r.rehost) }
 
-// Up reports whether the store has answered the last calls.
-func (r *Registry) Up() bool { return !r.up.lost() }
+// StoreReachable reports whether the store has answered the last calls.
+func (r *Registry) StoreReachable() bool { return !r.up.lost() }
 
-// Reload has the catalog read anew.
-func (r *Registry) Reload() { signal(r.reload) }
+// ReloadCatalog has the catalog read anew.
+func (r *Registry) ReloadCatalog() { signal(r.reload) }
 
 func signal(c chan struct{}) {
 	select {
@@ -282,7 +282,7 @@
 func (r *Registry) leave() {
 	r.lease.Store(0)
 	r.ownDuty(Entry{})
-	r.cfg.Post(r.cfg.Lost)
+	r.cfg.Post(r.cfg.RegistrationLost)
 }
 
 // enter registers the host and then reads the records, in this order: whoever writes a
@@ -322,14 +322,14 @@
 	})
 	// Whoever follows this host is to have the records before it hears of the renewal.
 	r.copyRecords()
-	r.cfg.Post(func() { r.cfg.Renewed(sent) })
+	r.cfg.Post(func() { r.cfg.RegistrationRenewed(sent) })
 	return nil
 }
 
 // renew renews the lease until it has ended. A renewal whose answer is late must not
 // hold up the next one: connections go silent without a sign.
 func (r *Registry) renew(ctx context.Context) {
-	l := Lease(r.lease.Load())
+	l := LeaseID(r.lease.Load())
 	running, ended := context.WithCancel(ctx)
 	defer ended()
 	slots := make(chan struct{}, maxRenewals)
@@ -349,7 +349,7 @@
 }
 
 // renewOnce renews the lease and reports whether it has ended.
-func (r *Registry) renewOnce(ctx context.Context, l Lease) bool {
+func (r *Registry) renewOnce(ctx context.Context, l LeaseID) bool {
 	c, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sent := r.cfg.Now()
@@ -358,7 +358,7 @@
 	case err == nil:
 		r.up.answered()
 		latest(&r.renewed, sent)
-		r.cfg.Post(func() { r.cfg.Renewed(sent) })
+		r.cfg.Post(func() { r.cfg.RegistrationRenewed(sent) })
 	case errors.Is(err, ErrNotFound):
 		return true
 	case ctx.Err() == nil:
--- a/io/registry/registry_test.go
+++ b/io/registry/registry_test.go
@@ -103,13 +103,13 @@
 		Catalog: func(d *catalog.Catalog) {
 			t.versions, t.whole = append(t.versions, d.Version), append(t.whole, d)
 		},
-		Instances: func(is []catalog.Instance, _ time.Time) { t.instances = len(is) },
-		Hosts:     func(hs []registry.Host) { t.hosts = hs },
-		Record:    func(r leader.Record) { t.records, t.recordedAt = append(t.records, r), time.Now() },
-		Renewed:   func(time.Time) { t.renewed++ },
-		Lost:      func() { t.lost++ },
-		Holds:     func(h bool) { t.holds = append(t.holds, h) },
-		Ordered: func(o leader.PromotionRequest, given, refused bool) {
+		Instances:           func(is []catalog.Instance, _ time.Time) { t.instances = len(is) },
+		Hosts:               func(hs []registry.Host) { t.hosts = hs },
+		Record:              func(r leader.Record) { t.records, t.recordedAt = append(t.records, r), time.Now() },
+		RegistrationRenewed: func(time.Time) { t.renewed++ },
+		RegistrationLost:    func() { t.lost++ },
+		CoordinatorChanged:  func(h bool) { t.holds = append(t.holds, h) },
+		PromotionFinished: func(o leader.PromotionRequest, given, refused bool) {
 			t.ordered = append(t.ordered, fmt.Sprintf("%s %t %t", o.Service, given, refused))
 		},
 		StepDown: func(leader.PromotionRequest) { t.steps = append(t.steps, "step down") },
@@ -122,7 +122,7 @@
 			}
 			return nil
 		},
-		Youth: youth, PromotionLeast: least, PromotionDelay: time.Second,
+		CoordinatorDelay: youth, PromotionLeast: least, PromotionDelay: time.Second,
 	}
 }
 
@@ -204,7 +204,7 @@
 		time.Sleep(4500 * time.Millisecond)
 		s.set(func() { lists[rank] = s.calls["list catalog"] + s.calls["list instances/"] })
 		s.put("instances/b", "x")
-		r.ListingConfirmed(1, time.Now().Add(time.Second))
+		r.InstancesConfirmed(1, time.Now().Add(time.Second))
 		began := time.Now()
 		until(c, t1, "the newer list", func() bool { return t1.instances == 2 })
 		c.Check(time.Since(began) < time.Second, qt.IsTrue)
@@ -230,10 +230,10 @@
 	for _, pair := range [][2]*registry.Registry{{r1, r2}, {r2, r1}} {
 		go func() {
 			for ctx.Err() == nil {
-				digest, at := pair[0].Listing()
-				read := pair[0].Read()
+				digest, at := pair[0].InstancesDigest()
+				read := pair[0].CatalogReadAt()
 				time.Sleep(delay)
-				pair[1].ListingConfirmed(digest, at.Add(delay))
+				pair[1].InstancesConfirmed(digest, at.Add(delay))
 				pair[1].CatalogConfirmed(read.Add(delay))
 			}
 		}()
@@ -261,7 +261,7 @@
 		Put: []registry.Put{{Key: "our/hosts/other/1", Value: b}}, Lease: other,
 	})
 	c.Assert(err, qt.IsNil)
-	r.Order(leader.PromotionRequest{Service: "orders", Primary: "b", Former: "a", Term: 2, Reason: leader.ReasonLeaving})
+	r.RequestPromotion(leader.PromotionRequest{Service: "orders", Primary: "b", Former: "a", Term: 2, Reason: leader.ReasonLeaving})
 	until(c, t1, "the order", func() bool { return len(t1.promoted) == 1 })
 	c.Assert(s.renew(context.Background(), other), qt.ErrorIs, registry.ErrNotFound)
 	t1.get(func() {
@@ -307,7 +307,7 @@
 	const least = 500 * time.Millisecond
 	r, t1 := joinWith(c, s, 0, least)
 	until(c, t1, "the duty", func() bool { return len(t1.holds) == 1 })
-	r.Order(leader.PromotionRequest{Service: "orders", Primary: "b", Former: "a", Term: 2, Reason: leader.ReasonUnreachable})
+	r.RequestPromotion(leader.PromotionRequest{Service: "orders", Primary: "b", Former: "a", Term: 2, Reason: leader.ReasonUnreachable})
 	until(c, t1, "the record", func() bool { return len(t1.records) == 1 })
 	until(c, t1, "the order", func() bool { return len(t1.promoted) == 1 })
 	// Registrations are ended after the record, so that the last of them was renewed before that.
@@ -322,7 +322,7 @@
 	r, t1 := join(c, s)
 	until(c, t1, "the duty", func() bool { return len(t1.holds) == 1 })
 	s.set(func() { s.lose = 1 })
-	r.Order(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
+	r.RequestPromotion(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
 	until(c, t1, "the order", func() bool { return len(t1.promoted) == 1 })
 }
 
@@ -334,7 +334,7 @@
 	r, t1 := join(c, s)
 	until(c, t1, "the duty", func() bool { return len(t1.holds) == 1 })
 	s.put("our/primaries/orders", `{"service":"orders","term":2,"primary":"c"}`)
-	r.Order(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
+	r.RequestPromotion(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
 	until(c, t1, "the outcome", func() bool { return len(t1.ordered) == 1 })
 	t1.get(func() {
 		c.Assert(t1.ordered, qt.DeepEquals, []string{"orders false false"})
@@ -356,7 +356,7 @@
 		}
 		return errDown
 	}
-	r.Order(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
+	r.RequestPromotion(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
 	until(c, t1, "the outcome", func() bool { return len(t1.ordered) == 1 })
 	t1.get(func() {
 		c.Assert(t1.promoted, qt.HasLen, 1)
@@ -376,7 +376,7 @@
 		}
 		return registry.ErrNotRunning
 	}
-	r.Order(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
+	r.RequestPromotion(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
 	until(c, t1, "the outcome", func() bool { return len(t1.ordered) == 1 })
 	t1.get(func() { c.Assert(t1.ordered, qt.DeepEquals, []string{"orders false false"}) })
 }
@@ -398,7 +398,7 @@
 	})
 	s.put("our/duty", `"other"`)
 	until(c, t1, "a new registration", func() bool { return t1.lost == 1 && t1.renewed > 1 })
-	r.Order(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
+	r.RequestPromotion(leader.PromotionRequest{Service: "orders", Primary: "b", Term: 2, Reason: leader.ReasonUnreachable})
 	until(c, t1, "the outcome", func() bool { return len(t1.ordered) == 1 })
 	t1.get(func() {
 		c.Assert(t1.promoted, qt.HasLen, 0)
--- a/io/registry/shelf_test.go
+++ b/io/registry/shelf_test.go
@@ -16,8 +16,8 @@
 	mu       sync.Mutex
 	revision registry.Revision
 	entries  map[string]registry.Entry
-	leases   map[registry.Lease]time.Time
-	next     registry.Lease
+	leases   map[registry.LeaseID]time.Time
+	next     registry.LeaseID
 	calls    map[string]int
 	changed  chan struct{}
 	// down refuses all calls; deaf has watches hear nothing.
@@ -30,7 +30,7 @@
 
 func newShelf() *shelf {
 	return &shelf{
-		revision: 10, entries: map[string]registry.Entry{}, leases: map[registry.Lease]time.Time{},
+		revision: 10, entries: map[string]registry.Entry{}, leases: map[registry.LeaseID]time.Time{},
 		calls: map[string]int{}, changed: make(chan struct{}),
 	}
 }
@@ -48,7 +48,7 @@
 	return nil
 }
 
-func (s *shelf) end(l registry.Lease) {
+func (s *shelf) end(l registry.LeaseID) {
 	delete(s.leases, l)
 	for k, e := range s.entries {
 		if e.Lease == l {
@@ -140,7 +140,7 @@
 	return s.revision, nil
 }
 
-func (s *shelf) grant(_ context.Context, ttl time.Duration) (registry.Lease, error) {
+func (s *shelf) grant(_ context.Context, ttl time.Duration) (registry.LeaseID, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.enter("grant"); err != nil {
@@ -151,7 +151,7 @@
 	return s.next, nil
 }
 
-func (s *shelf) renew(_ context.Context, l registry.Lease) error {
+func (s *shelf) renew(_ context.Context, l registry.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.enter("renew"); err != nil {
@@ -164,7 +164,7 @@
 	return nil
 }
 
-func (s *shelf) endLease(_ context.Context, l registry.Lease) error {
+func (s *shelf) endLease(_ context.Context, l registry.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.enter("end"); err != nil {
@@ -176,7 +176,7 @@
 
 func (s *shelf) store() registry.Store {
 	return registry.Store{
-		List: s.list, Watch: s.watch, Commit: s.commit, Grant: s.grant, Renew: s.renew, End: s.endLease,
+		List: s.list, Watch: s.watch, Commit: s.commit, Grant: s.grant, Renew: s.renew, Revoke: s.endLease,
 	}
 }
 
--- a/io/registry/store.go
+++ b/io/registry/store.go
@@ -13,11 +13,11 @@
 // Revision counts the changes of the store.
 type Revision uint64
 
-// Lease names a lease of the store.
-type Lease uint64
+// LeaseID names a lease of the store.
+type LeaseID uint64
 
 // String returns the lease as the store names it.
-func (l Lease) String() string { return strconv.FormatUint(uint64(l), 10) }
+func (l LeaseID) String() string { return strconv.FormatUint(uint64(l), 10) }
 
 // Entry is one key with its value, or the news that it was deleted.
 type Entry struct {
@@ -26,7 +26,7 @@
 	// Revision is that of the last change, Created that of the creation.
 	Revision, Created Revision
 	// Lease is the one that ends the key, zero for none.
-	Lease   Lease
+	Lease   LeaseID
 	Deleted bool
 }
 
@@ -47,7 +47,7 @@
 	If  []Condition
 	Put []Put
 	// Lease ends all keys that are put; zero keeps them.
-	Lease Lease
+	Lease LeaseID
 }
 
 // The errors of a store that its users tell apart. Any other leaves open whether the
@@ -71,7 +71,7 @@
 	// on from. It returns without any once wait has passed.
 	Watch  func(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Entry, Revision, error)
 	Commit func(ctx context.Context, t Txn) (Revision, error)
-	Grant  func(ctx context.Context, ttl time.Duration) (Lease, error)
-	Renew  func(ctx context.Context, l Lease) error
-	End    func(ctx context.Context, l Lease) error
+	Grant  func(ctx context.Context, ttl time.Duration) (LeaseID, error)
+	Renew  func(ctx context.Context, l LeaseID) error
+	Revoke func(ctx context.Context, l LeaseID) error
 }
