--- a/core/follow/follow.go
+++ b/core/follow/follow.go
@@ -22,40 +22,40 @@
 // Version tells one content of a part from another; zero is none.
 type Version uint64
 
-// Copy is one part as a reader has it.
-type Copy[T any] struct {
+// PartCopy is one part as a reader has it.
+type PartCopy[T any] struct {
 	Version Version
 	// Read is when the reader began to read it.
 	Read time.Time
-	// Whole is set where Body is given: it is left out for a follower that has the version.
-	Whole bool
-	Body  T
+	// HasBody is set where Body is given: it is left out for a follower that has the version.
+	HasBody bool
+	Body    T
 }
 
-// Copies are the parts as a reader has them. The zero Copies has none.
-type Copies[T any] struct {
-	parts map[Part]Copy[T]
+// PartCache are the parts as a reader has them. The zero PartCache has none.
+type PartCache[T any] struct {
+	parts map[Part]PartCopy[T]
 }
 
 // Put takes in a part as it was read at some moment. A reading that was begun before the last one
 // changes nothing.
-func (c *Copies[T]) Put(p Part, v Version, read time.Time, body T) {
+func (c *PartCache[T]) Put(p Part, v Version, read time.Time, body T) {
 	if c.parts == nil {
-		c.parts = map[Part]Copy[T]{}
+		c.parts = map[Part]PartCopy[T]{}
 	}
 	if old, ok := c.parts[p]; ok && read.Before(old.Read) {
 		return
 	}
-	c.parts[p] = Copy[T]{Version: v, Read: read, Whole: true, Body: body}
+	c.parts[p] = PartCopy[T]{Version: v, Read: read, HasBody: true, Body: body}
 }
 
-// For returns the parts for a follower that has some versions, and notes in has what it then has.
-func (c *Copies[T]) For(has map[Part]Version) map[Part]Copy[T] {
-	out := make(map[Part]Copy[T], len(c.parts))
+// UpdatesFor returns the parts for a follower that has some versions, and notes in has what it then has.
+func (c *PartCache[T]) UpdatesFor(has map[Part]Version) map[Part]PartCopy[T] {
+	out := make(map[Part]PartCopy[T], len(c.parts))
 	for p, o := range c.parts {
 		if has[p] == o.Version {
 			var none T
-			o.Whole, o.Body = false, none
+			o.HasBody, o.Body = false, none
 		}
 		out[p] = o
 		has[p] = o.Version
--- a/core/follow/follow_test.go
+++ b/core/follow/follow_test.go
@@ -13,12 +13,12 @@
 	"skylarkdeal/core/leader"
 )
 
-func ExampleCopies() {
-	var c follow.Copies[string]
+func ExamplePartCache() {
+	var c follow.PartCache[string]
 	c.Put(follow.PartCatalog, 7, time.Unix(1, 0), "the catalog")
 	has := map[follow.Part]follow.Version{}
-	fmt.Println(c.For(has)[follow.PartCatalog].Body)
-	fmt.Println(c.For(has)[follow.PartCatalog].Whole)
+	fmt.Println(c.UpdatesFor(has)[follow.PartCatalog].Body)
+	fmt.Println(c.UpdatesFor(has)[follow.PartCatalog].HasBody)
 	// Output:
 	// the catalog
 	// false
@@ -28,22 +28,22 @@
 // in while the store is down.
 func TestReaderThatHasReadNothingTellsNothing(t *testing.T) {
 	c := qt.New(t)
-	var s follow.Copies[string]
+	var s follow.PartCache[string]
 	has := map[follow.Part]follow.Version{}
-	parts := s.For(has)
+	parts := s.UpdatesFor(has)
 	c.Assert(parts, qt.HasLen, 0)
 	// Whoever passes them on adds the hosts.
-	parts[follow.PartHosts] = follow.Copy[string]{Whole: true}
+	parts[follow.PartHosts] = follow.PartCopy[string]{HasBody: true}
 	c.Assert(has, qt.HasLen, 0)
 }
 
 // Guards against an older reading, whose answer came late, in place of a newer one.
 func TestOlderReadingChangesNothing(t *testing.T) {
 	c := qt.New(t)
-	var s follow.Copies[string]
+	var s follow.PartCache[string]
 	s.Put(follow.PartInstances, 2, time.Unix(5, 0), "new")
 	s.Put(follow.PartInstances, 1, time.Unix(4, 0), "old")
-	c.Assert(s.For(map[follow.Part]follow.Version{})[follow.PartInstances].Body, qt.Equals, "new")
+	c.Assert(s.UpdatesFor(map[follow.Part]follow.Version{})[follow.PartInstances].Body, qt.Equals, "new")
 }
 
 // Guards against moments that look more recent than they are, by clocks that differ and messages
@@ -60,11 +60,11 @@
 			since := at.Sub(time.Unix(1000, 0))
 			return at.Add(offset + time.Duration(float64(since)*drift))
 		}
-		var c follow.Clock
+		var c follow.ClockMapping
 		sent := time.Unix(1000, 0)
 		for range rapid.IntRange(1, 4).Draw(t, "echoes") {
 			sent = sent.Add(span("pause", 3*time.Second))
-			c.Echo(sent, other(sent.Add(span("way", 2*time.Second))))
+			c.Observe(sent, other(sent.Add(span("way", 2*time.Second))))
 		}
 		at := sent.Add(span("at", 15*time.Second) - 5*time.Second)
 		got, ok := c.NotBefore(other(at))
@@ -86,7 +86,7 @@
 		offset := span("offset", time.Hour)
 		ended := start.Add(span("ended", 5*time.Second))
 		effect := ended.Add(leader.LeaseValidity)
-		var c follow.Clock
+		var c follow.ClockMapping
 		var l leader.Lease
 		arrived := start
 		for sent := start; sent.Before(ended.Add(3 * time.Second)); sent = sent.Add(300 * time.Millisecond) {
@@ -99,7 +99,7 @@
 			// before the reader heard it.
 			arrived = later(arrived, reached).Add(span("on the way", 2*time.Second))
 			heard := reached.Add(-span("heard", 300*time.Millisecond))
-			c.Echo(heard.Add(-span("asked", time.Second)), heard.Add(offset))
+			c.Observe(heard.Add(-span("asked", time.Second)), heard.Add(offset))
 			if at, ok := c.NotBefore(sent.Add(offset)); ok {
 				l.Renewed(at)
 			}
@@ -116,27 +116,27 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return now.Add(d * time.Millisecond) }
-	var r follow.Copies[string]
+	var r follow.PartCache[string]
 	r.Put(follow.PartRecords, 1, at(0), "no order")
 	has := map[follow.Part]follow.Version{}
-	var s follow.Session
+	var s follow.Subscription
 	s.Begin("r1", at(0))
 	c.Assert(s.Ask(), qt.IsTrue)
 	c.Assert(s.Accepts("r1", at(1)), qt.IsTrue)
-	r.For(has)
+	r.UpdatesFor(has)
 	c.Assert(s.Ask(), qt.IsFalse)
 	s.Begin("r2", at(500))
 	r.Put(follow.PartRecords, 2, at(600), "an order")
-	c.Assert(r.For(has)[follow.PartRecords].Whole, qt.IsTrue)
+	c.Assert(r.UpdatesFor(has)[follow.PartRecords].HasBody, qt.IsTrue)
 	c.Assert(s.Accepts("r1", at(1)), qt.IsFalse)
 	s.Begin("r1", at(900))
 	// What is still on its way says nothing of the record any more.
-	c.Assert(r.For(has)[follow.PartRecords].Whole, qt.IsFalse)
+	c.Assert(r.UpdatesFor(has)[follow.PartRecords].HasBody, qt.IsFalse)
 	c.Assert(s.Accepts("r1", at(1)), qt.IsFalse)
 	if s.Ask() {
 		clear(has)
 	}
-	c.Assert(r.For(has)[follow.PartRecords].Body, qt.Equals, "an order")
+	c.Assert(r.UpdatesFor(has)[follow.PartRecords].Body, qt.Equals, "an order")
 	c.Assert(s.Accepts("r1", at(901)), qt.IsTrue)
 }
 
@@ -170,7 +170,7 @@
 			o.Capacity = 0.8
 		}
 		// The census of a start has found nobody, for the first of them.
-		o.Reads = h == 0
+		o.IsReader = h == 0
 		s.hosts = append(s.hosts, o)
 	}
 	return s
@@ -188,8 +188,8 @@
 		}
 		serving := false
 		for _, o := range s.hosts {
-			o.Storeless = o.Reads && o.refused
-			serving = serving || o.Reads && !o.refused && !o.dead
+			o.StoreUnreachable = o.IsReader && o.refused
+			serving = serving || o.IsReader && !o.refused && !o.dead
 		}
 		for _, o := range s.hosts {
 			if serving {
@@ -212,18 +212,18 @@
 			others = append(others, x.told)
 		}
 	}
-	reads := follow.Choose(s.now, follow.Standing{
+	reads := follow.Choose(s.now, follow.RoleInput{
 		Self: o.Candidate, Others: others, Since: o.since, Renewed: o.renewed,
 	}) == follow.RoleReader
-	if reads != o.Reads {
-		o.Reads, o.since = reads, s.now
+	if reads != o.IsReader {
+		o.IsReader, o.since = reads, s.now
 	}
 }
 
 func (s *centre) readers() int {
 	n := 0
 	for _, o := range s.hosts {
-		if o.Reads && !o.dead {
+		if o.IsReader && !o.dead {
 			n++
 		}
 	}
@@ -247,7 +247,7 @@
 	s := newCentre(60)
 	s.run(10 * time.Second)
 	for _, o := range s.hosts {
-		o.dead = o.Reads
+		o.dead = o.IsReader
 	}
 	s.run(2 * time.Second)
 	c.Assert(s.readers() > 0, qt.IsTrue)
@@ -268,12 +268,12 @@
 	s = newCentre(60)
 	s.run(10 * time.Second)
 	for _, o := range s.hosts {
-		o.refused = o.Reads
+		o.refused = o.IsReader
 	}
 	s.run(3 * time.Second)
 	served := 0
 	for _, o := range s.hosts {
-		if o.Reads && !o.refused {
+		if o.IsReader && !o.refused {
 			served++
 		}
 	}
@@ -283,16 +283,16 @@
 // Guards against followers that all hang on one reader.
 func TestFollowersAreSpread(t *testing.T) {
 	c := qt.New(t)
-	readers := []follow.Candidate{{Host: "a", Reads: true}, {Host: "b", Reads: true}, {Host: "c"}}
+	readers := []follow.Candidate{{Host: "a", IsReader: true}, {Host: "b", IsReader: true}, {Host: "c"}}
 	got := map[fleet.Host]int{}
 	for n := range 100 {
-		lead, ok := follow.Lead(fleet.Host(fmt.Sprintf("h%d", n)), readers)
+		lead, ok := follow.ChooseReader(fleet.Host(fmt.Sprintf("h%d", n)), readers)
 		c.Assert(ok, qt.IsTrue)
 		got[lead]++
 	}
 	c.Assert(got["a"]+got["b"], qt.Equals, 100)
 	c.Assert(got["a"] > 25 && got["b"] > 25, qt.IsTrue)
-	_, ok := follow.Lead("h", []follow.Candidate{{Host: "a", Reads: true, Storeless: true}, {Host: "c"}})
+	_, ok := follow.ChooseReader("h", []follow.Candidate{{Host: "a", IsReader: true, StoreUnreachable: true}, {Host: "c"}})
 	c.Assert(ok, qt.IsFalse)
 }
 
@@ -303,9 +303,9 @@
 	cs := []follow.Candidate{
 		{Host: "weak-1", Capacity: 0.2}, {Host: "strong", Capacity: 0.8}, {Host: "weak-2", Capacity: 0.2},
 	}
-	first := follow.First(cs)
+	first := follow.StrongestCandidates(cs)
 	c.Assert(first, qt.HasLen, 2)
 	c.Assert(first[0].Host, qt.Equals, fleet.Host("strong"))
-	c.Assert(follow.First(cs[:1]), qt.HasLen, 1)
-	c.Assert(follow.First(nil), qt.HasLen, 0)
+	c.Assert(follow.StrongestCandidates(cs[:1]), qt.HasLen, 1)
+	c.Assert(follow.StrongestCandidates(nil), qt.HasLen, 0)
 }
--- a/core/follow/role.go
+++ b/core/follow/role.go
@@ -41,12 +41,12 @@
 type Candidate struct {
 	Host     fleet.Host
 	Capacity fleet.Capacity
-	// Reads is set while it is a reader, Storeless while that can't reach the store.
-	Reads, Storeless bool
+	// IsReader is set while it is a reader, StoreUnreachable while that can't reach the store.
+	IsReader, StoreUnreachable bool
 }
 
-// Standing is what a host knows of the readers of its data centre.
-type Standing struct {
+// RoleInput is what a host knows of the readers of its data centre.
+type RoleInput struct {
 	Self Candidate
 	// Others are those that are heard and stay.
 	Others []Candidate
@@ -61,17 +61,17 @@
 // each other choose alike. A reader that can't reach the store stays one and tries again, and the
 // next in the order becomes one too: the store may turn some hosts away and serve others. If it
 // serves nobody that goes on slowly, and ends with a few.
-func Choose(now time.Time, s Standing) Role {
+func Choose(now time.Time, s RoleInput) Role {
 	able, better, tries, ahead := 0, 0, 0, 0
 	for _, o := range s.Others {
 		before := order(o, s.Self) < 0
 		switch {
-		case o.Reads && o.Storeless:
+		case o.IsReader && o.StoreUnreachable:
 			tries++
-		case o.Reads && before:
+		case o.IsReader && before:
 			able++
 			better++
-		case o.Reads:
+		case o.IsReader:
 			able++
 		case before:
 			ahead++
@@ -79,9 +79,9 @@
 	}
 	age := now.Sub(s.Since)
 	switch {
-	case s.Self.Reads && better >= readers && age > resignAfter:
+	case s.Self.IsReader && better >= readers && age > resignAfter:
 		return RoleFollower
-	case s.Self.Reads:
+	case s.Self.IsReader:
 		return RoleReader
 	case able+tries+ahead < readers && age > settleFor:
 		return RoleReader
@@ -92,13 +92,13 @@
 	}
 }
 
-// First returns the candidates that go before all others, as many as read in a data centre.
-func First(cs []Candidate) []Candidate {
+// StrongestCandidates returns the candidates that go before all others, as many as read in a data centre.
+func StrongestCandidates(cs []Candidate) []Candidate {
 	sorted := slices.SortedFunc(slices.Values(cs), order)
 	return sorted[:min(readers, len(sorted))]
 }
 
-func silent(now time.Time, s Standing) time.Duration {
+func silent(now time.Time, s RoleInput) time.Duration {
 	from := s.Renewed
 	if s.Since.After(from) {
 		from = s.Since
@@ -117,10 +117,10 @@
 	return cmp.Compare(a.Host, b.Host)
 }
 
-// Lead returns the reader that a host follows, false if it hears none: any of those that reach
+// ChooseReader returns the reader that a host follows, false if it hears none: any of those that reach
 // the store, chosen by the hash of both, so that the followers of a data centre are spread.
-func Lead(self fleet.Host, others []Candidate) (fleet.Host, bool) {
-	able := slices.DeleteFunc(slices.Clone(others), func(o Candidate) bool { return !o.Reads || o.Storeless })
+func ChooseReader(self fleet.Host, others []Candidate) (fleet.Host, bool) {
+	able := slices.DeleteFunc(slices.Clone(others), func(o Candidate) bool { return !o.IsReader || o.StoreUnreachable })
 	if len(able) == 0 {
 		return "", false
 	}
@@ -143,9 +143,9 @@
 	mostWait = time.Second
 )
 
-// FirstWait returns how long a host that finds no reader of its data centre in the store waits
+// RegistrationDelay returns how long a host that finds no reader of its data centre in the store waits
 // before it registers: strong hosts go first, and the others find them when they look again.
-func FirstWait(c fleet.Capacity) time.Duration {
+func RegistrationDelay(c fleet.Capacity) time.Duration {
 	if c <= 0 {
 		c = usualCapacity
 	}
--- a/core/mesh/mesh.go
+++ b/core/mesh/mesh.go
@@ -32,37 +32,37 @@
 	secondHold = 350 * time.Millisecond
 )
 
-// Large reports whether a fleet of n hosts uses doors.
-func Large(n int) bool { return n > fullUpTo }
+// UsesRelays reports whether a fleet of n hosts uses doors.
+func UsesRelays(n int) bool { return n > fullUpTo }
 
-// Pace is how often the hosts of a fleet report, and what follows from it.
-type Pace struct {
-	// Report is the time between two reports of a host, Pass that between two datagrams of
+// Intervals is how often the hosts of a fleet report, and what follows from it.
+type Intervals struct {
+	// Report is the time between two reports of a host, Forward that between two datagrams of
 	// a door.
-	Report, Pass time.Duration
-	// Fresh is how old the last report of a host may be for it to count as heard: three in a
+	Report, Forward time.Duration
+	// HeardWithin is how old the last report of a host may be for it to count as heard: three in a
 	// row were lost otherwise.
-	Fresh time.Duration
+	HeardWithin time.Duration
 }
 
 // The paces of small and of large fleets. What hosts admit to an account without knowing of
 // each other has to fit into half of its burst, a second of its rate as a rule; a large
 // fleet reports half as often, which halves the work of listening on its small hosts.
 var (
-	smallPace = Pace{Report: 200 * time.Millisecond, Fresh: 700 * time.Millisecond}
-	largePace = Pace{Report: 400 * time.Millisecond, Pass: 150 * time.Millisecond, Fresh: 1400 * time.Millisecond}
+	smallPace = Intervals{Report: 200 * time.Millisecond, HeardWithin: 700 * time.Millisecond}
+	largePace = Intervals{Report: 400 * time.Millisecond, Forward: 150 * time.Millisecond, HeardWithin: 1400 * time.Millisecond}
 )
 
-// PaceOf returns the pace of a fleet of n hosts.
-func PaceOf(n int) Pace {
-	if Large(n) {
+// IntervalsFor returns the pace of a fleet of n hosts.
+func IntervalsFor(n int) Intervals {
+	if UsesRelays(n) {
 		return largePace
 	}
 	return smallPace
 }
 
-// Member is another host.
-type Member struct {
+// Peer is another host.
+type Peer struct {
 	Host       fleet.Host
 	DataCentre fleet.DataCentre
 	// Heard is set while its reports come.
@@ -74,11 +74,11 @@
 }
 
 // Recipients returns the hosts that a host tells of itself.
-func Recipients(self Member, others []Member) []fleet.Host {
-	if !Large(1 + len(others)) {
+func Recipients(self Peer, others []Peer) []fleet.Host {
+	if !UsesRelays(1 + len(others)) {
 		return names(others)
 	}
-	centres := map[fleet.DataCentre][]Member{}
+	centres := map[fleet.DataCentre][]Peer{}
 	for _, m := range others {
 		centres[m.DataCentre] = append(centres[m.DataCentre], m)
 	}
@@ -94,7 +94,7 @@
 	return out
 }
 
-func names(ms []Member) []fleet.Host {
+func names(ms []Peer) []fleet.Host {
 	out := make([]fleet.Host, 0, len(ms))
 	for _, m := range ms {
 		out = append(out, m.Host)
@@ -105,17 +105,17 @@
 // crowded reports whether the n hosts of a data centre report over its doors.
 func crowded(n int) bool { return n > besideUpTo }
 
-// Passes reports whether a host passes on what it has heard directly from a host of some data
+// ForwardsFrom reports whether a host passes on what it has heard directly from a host of some data
 // centre.
-func Passes(self Member, from fleet.DataCentre, others []Member) bool {
-	if !Large(1 + len(others)) {
+func ForwardsFrom(self Peer, from fleet.DataCentre, others []Peer) bool {
+	if !UsesRelays(1 + len(others)) {
 		return false
 	}
-	return from != self.DataCentre || crowded(1+len(Beside(self.DataCentre, others)))
+	return from != self.DataCentre || crowded(1+len(LocalRecipients(self.DataCentre, others)))
 }
 
-// Beside returns the hosts to which a door passes on what it hears from elsewhere.
-func Beside(own fleet.DataCentre, others []Member) []fleet.Host {
+// LocalRecipients returns the hosts to which a door passes on what it hears from elsewhere.
+func LocalRecipients(own fleet.DataCentre, others []Peer) []fleet.Host {
 	var out []fleet.Host
 	for _, m := range others {
 		if m.DataCentre == own {
@@ -125,21 +125,21 @@
 	return out
 }
 
-// Hold returns how long a host keeps what it has heard from elsewhere before it passes it on.
+// ForwardDelay returns how long a host keeps what it has heard from elsewhere before it passes it on.
 //
 // The first door passes on at its pace. The other one gives it the time to do so, and then
 // passes on only what the first one hasn't: with both at work at once the links of small
 // hosts, 10 Mbit/s, were full, and a third of the reports were lost.
-func Hold(self Member, others []Member) time.Duration {
+func ForwardDelay(self Peer, others []Peer) time.Duration {
 	self.Heard = true
-	beside := []Member{self}
+	beside := []Peer{self}
 	for _, m := range others {
 		if m.DataCentre == self.DataCentre {
 			beside = append(beside, m)
 		}
 	}
 	if doorsOf(self.DataCentre, beside)[0] == self.Host {
-		return largePace.Pass
+		return largePace.Forward
 	}
 	return secondHold
 }
@@ -153,9 +153,9 @@
 //
 // The guard on those that leave is for hosts that are restarted in turn: both doors were among
 // them at once, and a whole data centre heard nobody else for two seconds.
-func doorsOf(dc fleet.DataCentre, ms []Member) []fleet.Host {
+func doorsOf(dc fleet.DataCentre, ms []Peer) []fleet.Host {
 	rank := func(h fleet.Host) uint64 { return xxhash.Sum64String(string(dc) + "/" + string(h)) }
-	slices.SortFunc(ms, func(a, b Member) int {
+	slices.SortFunc(ms, func(a, b Peer) int {
 		stays, other := a.Heard && !a.Leaving, b.Heard && !b.Leaving
 		switch ra, rb := rank(a.Host), rank(b.Host); {
 		case stays != other && stays:
--- a/core/mesh/mesh_test.go
+++ b/core/mesh/mesh_test.go
@@ -12,10 +12,10 @@
 )
 
 // members returns n hosts, evenly over three data centres, all of which are heard.
-func members(n int) []mesh.Member {
-	out := make([]mesh.Member, n)
+func members(n int) []mesh.Peer {
+	out := make([]mesh.Peer, n)
 	for i := range out {
-		out[i] = mesh.Member{
+		out[i] = mesh.Peer{
 			Host:       fleet.Host(fmt.Sprintf("h%d", i)),
 			DataCentre: fleet.DataCentre(fmt.Sprintf("dc%d", i%3)),
 			Heard:      true,
@@ -25,13 +25,13 @@
 }
 
 // others returns all but one.
-func others(ms []mesh.Member, n int) []mesh.Member {
+func others(ms []mesh.Peer, n int) []mesh.Peer {
 	return append(slices.Clone(ms[:n]), ms[n+1:]...)
 }
 
 func ExampleRecipients() {
-	small := []mesh.Member{{Host: "h2", DataCentre: "obihiro"}, {Host: "h3", DataCentre: "sapporo"}}
-	fmt.Println(mesh.Recipients(mesh.Member{Host: "h1", DataCentre: "obihiro"}, small))
+	small := []mesh.Peer{{Host: "h2", DataCentre: "obihiro"}, {Host: "h3", DataCentre: "sapporo"}}
+	fmt.Println(mesh.Recipients(mesh.Peer{Host: "h1", DataCentre: "obihiro"}, small))
 	// Output: [h2 h3]
 }
 
@@ -46,20 +46,20 @@
 			reached := fleet.NewSet(direct...)
 			far := 0
 			for _, h := range direct {
-				at := slices.IndexFunc(ms, func(m mesh.Member) bool { return m.Host == h })
+				at := slices.IndexFunc(ms, func(m mesh.Peer) bool { return m.Host == h })
 				if ms[at].DataCentre != ms[from].DataCentre {
 					far++
 				}
-				if !mesh.Passes(ms[at], ms[from].DataCentre, others(ms, at)) {
+				if !mesh.ForwardsFrom(ms[at], ms[from].DataCentre, others(ms, at)) {
 					continue
 				}
-				for _, b := range mesh.Beside(ms[at].DataCentre, others(ms, at)) {
+				for _, b := range mesh.LocalRecipients(ms[at].DataCentre, others(ms, at)) {
 					reached.Add(b)
 				}
 			}
 			reached.Add(ms[from].Host)
 			c.Assert(len(reached), qt.Equals, n, qt.Commentf("%d hosts, from %s", n, ms[from].Host))
-			if mesh.Large(n) {
+			if mesh.UsesRelays(n) {
 				c.Assert(far, qt.Equals, 4)
 			}
 		}
@@ -70,15 +70,15 @@
 // place, and the other one stays.
 func TestDeadDoorIsReplaced(t *testing.T) {
 	c := qt.New(t)
-	for _, end := range []func(m *mesh.Member){
-		func(m *mesh.Member) { m.Heard = false },
-		func(m *mesh.Member) { m.Leaving = true },
+	for _, end := range []func(m *mesh.Peer){
+		func(m *mesh.Peer) { m.Heard = false },
+		func(m *mesh.Peer) { m.Leaving = true },
 	} {
 		testReplaced(c, end)
 	}
 }
 
-func testReplaced(c *qt.C, end func(m *mesh.Member)) {
+func testReplaced(c *qt.C, end func(m *mesh.Peer)) {
 	ms := members(60)
 	before := mesh.Recipients(ms[0], others(ms, 0))
 	dead := before[len(before)-1]
@@ -117,7 +117,7 @@
 	first := func() []fleet.Host {
 		var out []fleet.Host
 		for n, m := range ms {
-			if m.Heard && m.DataCentre == "dc1" && mesh.Hold(m, others(ms, n)) == mesh.PaceOf(len(ms)).Pass {
+			if m.Heard && m.DataCentre == "dc1" && mesh.ForwardDelay(m, others(ms, n)) == mesh.IntervalsFor(len(ms)).Forward {
 				out = append(out, m.Host)
 			}
 		}
--- a/core/mesh/silence.go
+++ b/core/mesh/silence.go
@@ -13,17 +13,17 @@
 	leastHosts = 3
 )
 
-// Ask reports whether the hosts of a data centre are to be asked for a sign, as nothing has come from
+// NeedsProbe reports whether the hosts of a data centre are to be asked for a sign, as nothing has come from
 // any of them for some time.
-func Ask(silent time.Duration) bool { return silent > askAfter }
+func NeedsProbe(silent time.Duration) bool { return silent > askAfter }
 
-// Silent reports whether a data centre counts as cut off: nothing has come from any of its hosts for
+// DataCentreSilent reports whether a data centre counts as cut off: nothing has come from any of its hosts for
 // some time, neither a report nor an answer over a link.
 //
 // The load it is made for: a data centre that is cut off while the others hear it over doors, at a
 // pace at which the loss of a single host shows after seconds. Statements that were sent there wait
 // for their time limit until then, and nobody looks for another primary. A whole data centre that
 // says nothing is no host that is slow.
-func Silent(hosts int, silent time.Duration) bool {
+func DataCentreSilent(hosts int, silent time.Duration) bool {
 	return hosts >= leastHosts && silent > silentAfter
 }
--- a/core/mesh/silence_test.go
+++ b/core/mesh/silence_test.go
@@ -13,13 +13,13 @@
 // and against one or two hosts that stand still and are taken for that.
 func TestSilenceOfADataCentre(t *testing.T) {
 	c := qt.New(t)
-	c.Check(mesh.Silent(24, 400*time.Millisecond), qt.IsFalse)
-	c.Check(mesh.Silent(24, 600*time.Millisecond), qt.IsTrue)
-	c.Check(mesh.Silent(2, 600*time.Millisecond), qt.IsFalse)
-	c.Check(mesh.Silent(24, 600*time.Millisecond) && !mesh.Ask(600*time.Millisecond), qt.IsFalse)
-	c.Check(mesh.Ask(200*time.Millisecond), qt.IsFalse)
+	c.Check(mesh.DataCentreSilent(24, 400*time.Millisecond), qt.IsFalse)
+	c.Check(mesh.DataCentreSilent(24, 600*time.Millisecond), qt.IsTrue)
+	c.Check(mesh.DataCentreSilent(2, 600*time.Millisecond), qt.IsFalse)
+	c.Check(mesh.DataCentreSilent(24, 600*time.Millisecond) && !mesh.NeedsProbe(600*time.Millisecond), qt.IsFalse)
+	c.Check(mesh.NeedsProbe(200*time.Millisecond), qt.IsFalse)
 	// A host that is asked has time to answer.
-	c.Check(mesh.Ask(300*time.Millisecond) && !mesh.Silent(24, 450*time.Millisecond), qt.IsTrue)
+	c.Check(mesh.NeedsProbe(300*time.Millisecond) && !mesh.DataCentreSilent(24, 450*time.Millisecond), qt.IsTrue)
 	// It shows well before the loss of a single host.
-	c.Check(mesh.Silent(24, mesh.PaceOf(73).Fresh/2), qt.IsTrue)
+	c.Check(mesh.DataCentreSilent(24, mesh.IntervalsFor(73).HeardWithin/2), qt.IsTrue)
 }
--- a/core/share/fleet_test.go
+++ b/core/share/fleet_test.go
@@ -82,7 +82,7 @@
 				}
 			}
 		}
-		if n%int(mesh.PaceOf(len(f.hosts)).Report/step) == 0 {
+		if n%int(mesh.IntervalsFor(len(f.hosts)).Report/step) == 0 {
 			f.report()
 		}
 	}
--- a/core/share/hosts.go
+++ b/core/share/hosts.go
@@ -144,4 +144,4 @@
 }
 
 // fresh is how old the report of a host may be for the picture to count as whole.
-func (f *Fleet) fresh() time.Duration { return mesh.PaceOf(1 + len(f.members)).Fresh }
+func (f *Fleet) fresh() time.Duration { return mesh.IntervalsFor(1 + len(f.members)).HeardWithin }
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -32,7 +32,7 @@
 	since, renewed time.Time
 	// session is that with the reader that it follows, asked when it was last asked for news, heard
 	// when news last came.
-	session      follow.Session
+	session      follow.Subscription
 	asked, heard time.Time
 	// registered are the hosts that were registered when the store was last asked, centres their
 	// data centres.
@@ -42,7 +42,7 @@
 	// count is how many hosts there were when that was last written to the store.
 	count int
 
-	copies    follow.Copies[[]registry.Entry]
+	copies    follow.PartCache[[]registry.Entry]
 	own       time.Time
 	followers map[relay.PeerLinkID]*follower
 }
@@ -63,7 +63,7 @@
 		return
 	}
 	h.following.role, h.following.since = x, clock.Now()
-	h.following.session = follow.Session{}
+	h.following.session = follow.Subscription{}
 	h.registry.SetRole(x)
 	if x == follow.RoleFollower {
 		clear(h.following.followers)
@@ -78,7 +78,7 @@
 	if h.following.role == "" {
 		return
 	}
-	if !mesh.Large(h.peers.size()) {
+	if !mesh.UsesRelays(h.peers.size()) {
 		// A fleet that has just started looks small until its hosts have heard each other.
 		if now.Sub(h.began) > acquaintance {
 			h.setRole(follow.RoleReader)
@@ -89,10 +89,10 @@
 		return
 	}
 	self := follow.Candidate{
-		Host: h.settings.Host.Name, Capacity: h.settings.Adapter.Capacity, Reads: h.reads(),
-		Storeless: !h.registry.StoreReachable(),
+		Host: h.settings.Host.Name, Capacity: h.settings.Adapter.Capacity, IsReader: h.reads(),
+		StoreUnreachable: !h.registry.StoreReachable(),
 	}
-	h.setRole(follow.Choose(now, follow.Standing{
+	h.setRole(follow.Choose(now, follow.RoleInput{
 		Self: self, Others: h.candidates(now), Since: h.following.since, Renewed: h.following.renewed,
 	}))
 }
@@ -108,7 +108,7 @@
 // unsure reports whether the host hears too few others to tell who holds connections.
 func (h *Host) unsure(now time.Time, heard int) bool {
 	f := &h.following
-	if now.Sub(h.began) > unsureFor || f.count > 0 && !mesh.Large(f.count) {
+	if now.Sub(h.began) > unsureFor || f.count > 0 && !mesh.UsesRelays(f.count) {
 		return false
 	}
 	return 2*heard < max(f.count, h.peers.size())-1
@@ -116,11 +116,11 @@
 
 // candidates returns the other hosts of the data centre that are heard and stay.
 func (h *Host) candidates(now time.Time) []follow.Candidate {
-	fresh := mesh.PaceOf(h.peers.size()).Fresh
+	fresh := mesh.IntervalsFor(h.peers.size()).HeardWithin
 	var out []follow.Candidate
 	for n, k := range h.peers.known {
 		if k.dataCentre == h.settings.Host.DataCentre && !k.leaving && now.Sub(k.heard) < fresh {
-			out = append(out, follow.Candidate{Host: n, Capacity: k.capacity, Reads: k.reads, Storeless: k.storeless})
+			out = append(out, follow.Candidate{Host: n, Capacity: k.capacity, IsReader: k.reads, StoreUnreachable: k.storeless})
 		}
 	}
 	return out
@@ -132,36 +132,36 @@
 	if f.role != follow.RoleFollower {
 		return
 	}
-	if l := h.links[f.session.Lead]; l == nil || l.failed || now.Sub(later(f.heard, f.asked)) > leader.StoreSilentAfter {
+	if l := h.links[f.session.Reader]; l == nil || l.failed || now.Sub(later(f.heard, f.asked)) > leader.StoreSilentAfter {
 		h.choose(now)
 	}
-	l := h.links[f.session.Lead]
+	l := h.links[f.session.Reader]
 	if l == nil || !l.up || now.Sub(f.asked) < followEvery {
 		return
 	}
 	f.asked = now
 	l.used = now
-	l.conn.Write(forward.AppendFollow(nil, forward.Follow{Sent: now, Whole: f.session.Ask()}))
+	l.conn.Write(forward.AppendFollow(nil, forward.Follow{Sent: now, Full: f.session.Ask()}))
 }
 
 // choose takes a reader to follow, another one than the last if there is one.
 func (h *Host) choose(now time.Time) {
 	f := &h.following
 	others := h.candidates(now)
-	rest := slices.DeleteFunc(slices.Clone(others), func(c follow.Candidate) bool { return c.Host == f.session.Lead })
-	lead, ok := follow.Lead(h.settings.Host.Name, rest)
+	rest := slices.DeleteFunc(slices.Clone(others), func(c follow.Candidate) bool { return c.Host == f.session.Reader })
+	lead, ok := follow.ChooseReader(h.settings.Host.Name, rest)
 	if !ok {
-		lead, ok = follow.Lead(h.settings.Host.Name, others)
+		lead, ok = follow.ChooseReader(h.settings.Host.Name, others)
 	}
 	if !ok {
 		// Those that are to read may have reported before they knew.
-		lead, ok = follow.Lead(h.settings.Host.Name, h.registeredBeside())
+		lead, ok = follow.ChooseReader(h.settings.Host.Name, h.registeredBeside())
 	}
 	if !ok {
-		f.session = follow.Session{}
+		f.session = follow.Subscription{}
 		return
 	}
-	if lead != f.session.Lead {
+	if lead != f.session.Reader {
 		h.log.Debug("follow a reader of the store", zap.String("host", string(lead)))
 		f.session.Begin(lead, now)
 	}
@@ -174,7 +174,7 @@
 	var out []follow.Candidate
 	for _, r := range h.following.registered {
 		if r.DataCentre == h.settings.Host.DataCentre && r.Name != h.settings.Host.Name {
-			out = append(out, follow.Candidate{Host: r.Name, Capacity: r.Capacity, Reads: true})
+			out = append(out, follow.Candidate{Host: r.Name, Capacity: r.Capacity, IsReader: true})
 		}
 	}
 	return out
@@ -185,17 +185,17 @@
 // What a renewal of the reader's proves, it proves to its followers: that no order was given before it
 // was sent of which the records don't tell that come with it. The moment is translated so that
 // it isn't later here than it was there, however long the news took.
-func (h *Host) told(from fleet.Host, n forward.News) {
+func (h *Host) told(from fleet.Host, n forward.StoreUpdate) {
 	f := &h.following
 	if f.role != follow.RoleFollower || !f.session.Accepts(from, n.EchoSent) {
 		return
 	}
 	f.heard = clock.Now()
-	f.session.Clock.Echo(n.EchoSent, n.EchoHeard)
+	f.session.Clock.Observe(n.EchoSent, n.EchoHeard)
 	f.centres = fleet.NewSet(n.Centres...)
 	for p, c := range n.Parts {
 		read, ok := f.session.Clock.NotBefore(c.Read)
-		if !ok && !c.Whole {
+		if !ok && !c.HasBody {
 			continue
 		}
 		c.Read = read
@@ -238,7 +238,7 @@
 }
 
 // copied takes in a part of the store that this host has read, and passes it on.
-func (h *Host) copied(p follow.Part, c follow.Copy[[]registry.Entry]) {
+func (h *Host) copied(p follow.Part, c follow.PartCopy[[]registry.Entry]) {
 	h.following.copies.Put(p, c.Version, c.Read, c.Body)
 	h.passNews()
 }
@@ -250,7 +250,7 @@
 		f = &follower{has: map[follow.Part]follow.Version{}, write: write}
 		h.following.followers[l] = f
 	}
-	if q.Whole {
+	if q.Full {
 		clear(f.has)
 	}
 	f.asked, f.heard = q.Sent, clock.Now()
@@ -275,18 +275,18 @@
 }
 
 func (h *Host) tell(f *follower) {
-	n := forward.News{
-		EchoSent: f.asked, EchoHeard: f.heard, Renewed: h.following.own, Parts: h.following.copies.For(f.has),
+	n := forward.StoreUpdate{
+		EchoSent: f.asked, EchoHeard: f.heard, Renewed: h.following.own, Parts: h.following.copies.UpdatesFor(f.has),
 	}
 	if f.has[follow.PartHosts] == 0 {
 		// The others come by the hosts' own reports.
 		f.has[follow.PartHosts] = 1
-		n.Parts[follow.PartHosts] = follow.Copy[[]registry.Entry]{Version: 1, Whole: true, Body: h.hostEntries()}
+		n.Parts[follow.PartHosts] = follow.PartCopy[[]registry.Entry]{Version: 1, HasBody: true, Body: h.hostEntries()}
 	}
 	for c := range h.following.centres {
 		n.Centres = append(n.Centres, c)
 	}
-	f.write(forward.AppendNews(nil, n))
+	f.write(forward.AppendStoreUpdate(nil, n))
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -78,7 +78,7 @@
 	h.chooseRole(now)
 	defer h.followStore(now)
 	h.forget(now)
-	fresh := mesh.PaceOf(h.peers.size()).Fresh
+	fresh := mesh.IntervalsFor(h.peers.size()).HeardWithin
 	silent := h.silentCentres(now)
 	_, pause := h.linkPatience()
 	wanted := h.wanted()
@@ -136,11 +136,11 @@
 
 // wanted tells which links are worth keeping.
 func (h *Host) wanted() func(n fleet.Host) bool {
-	if !mesh.Large(h.peers.size()) {
+	if !mesh.UsesRelays(h.peers.size()) {
 		return func(fleet.Host) bool { return true }
 	}
 	hs := h.relay.Holders()
-	if lead := h.following.session.Lead; lead != "" {
+	if lead := h.following.session.Reader; lead != "" {
 		hs.Add(lead)
 	}
 	return hs.Has
@@ -149,7 +149,7 @@
 // usable reports whether statements may be sent over a link, or may soon.
 func (h *Host) usable(l *link, now time.Time) bool {
 	switch {
-	case l.up || !mesh.Large(h.peers.size()):
+	case l.up || !mesh.UsesRelays(h.peers.size()):
 		return l.up
 	case l.failed:
 		return false
@@ -165,7 +165,7 @@
 // secluded reports whether no host of another data centre has been heard for a moment, by report or
 // over its link, although some ought to be.
 func (h *Host) secluded(now time.Time, silent fleet.Set[fleet.DataCentre]) bool {
-	silence := mesh.PaceOf(h.peers.size()).Fresh / secludedPart
+	silence := mesh.IntervalsFor(h.peers.size()).HeardWithin / secludedPart
 	far := false
 	for name, p := range h.peers.known {
 		if p.dataCentre == h.settings.Host.DataCentre || now.Sub(p.heard) > missingFor {
@@ -191,7 +191,7 @@
 // silentCentres returns the other data centres of a large fleet that count as cut off, and asks for a
 // sign of life where nothing has come for some time.
 func (h *Host) silentCentres(now time.Time) fleet.Set[fleet.DataCentre] {
-	if !mesh.Large(h.peers.size()) || now.Sub(h.woke) < wakeTime {
+	if !mesh.UsesRelays(h.peers.size()) || now.Sub(h.woke) < wakeTime {
 		return nil
 	}
 	last, hosts := map[fleet.DataCentre]time.Time{}, map[fleet.DataCentre]int{}
@@ -204,10 +204,10 @@
 	}
 	out := fleet.NewSet[fleet.DataCentre]()
 	for dc, at := range last {
-		if mesh.Ask(now.Sub(at)) {
+		if mesh.NeedsProbe(now.Sub(at)) {
 			h.askForSigns(now, dc, at)
 		}
-		if mesh.Silent(hosts[dc], now.Sub(at)) {
+		if mesh.DataCentreSilent(hosts[dc], now.Sub(at)) {
 			out.Add(dc)
 		}
 	}
@@ -253,7 +253,7 @@
 			h.relay.HandleForwardAnswer(l.host, id, a)
 		},
 		Follow: func(forward.Follow) {},
-		News: func(n forward.News) {
+		StoreUpdate: func(n forward.StoreUpdate) {
 			l.heard = clock.Now()
 			h.told(l.host, n)
 		},
@@ -291,9 +291,9 @@
 				c.Write(out)
 			})
 		},
-		Reply:  func(uint64, statement.Answer) {},
-		Follow: func(f forward.Follow) { h.followed(id, f, c.Write) },
-		News:   func(forward.News) {},
+		Reply:       func(uint64, statement.Answer) {},
+		Follow:      func(f forward.Follow) { h.followed(id, f, c.Write) },
+		StoreUpdate: func(forward.StoreUpdate) {},
 		Ping: func(answer bool) {
 			if !answer {
 				c.Write(forward.AppendPing(nil, true))
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -31,7 +31,7 @@
 	passedAt time.Time
 	urgent   bool
 	// listed are the other hosts as the mesh wants to know them, as of listedAt.
-	listed   []mesh.Member
+	listed   []mesh.Peer
 	listedAt time.Time
 	// reported is when the last report was sent, doubted how many doubts it had, reached how
 	// many instances that others doubt.
@@ -81,18 +81,18 @@
 const membersFor = 50 * time.Millisecond
 
 // members returns the other hosts as the mesh wants to know them.
-func (p *peers) members(now time.Time) []mesh.Member {
+func (p *peers) members(now time.Time) []mesh.Peer {
 	if len(p.listed) != len(p.addresses) || now.Sub(p.listedAt) >= membersFor {
 		p.listed, p.listedAt = p.list(now), now
 	}
 	return p.listed
 }
 
-func (p *peers) list(now time.Time) []mesh.Member {
-	fresh := mesh.PaceOf(p.size()).Fresh
-	out := make([]mesh.Member, 0, len(p.addresses))
+func (p *peers) list(now time.Time) []mesh.Peer {
+	fresh := mesh.IntervalsFor(p.size()).HeardWithin
+	out := make([]mesh.Peer, 0, len(p.addresses))
 	for n := range p.addresses {
-		m := mesh.Member{Host: n, DataCentre: p.centres[n]}
+		m := mesh.Peer{Host: n, DataCentre: p.centres[n]}
 		if k := p.known[n]; k != nil {
 			m.Heard, m.Leaving, m.Capacity = now.Sub(k.heard) < fresh, k.leaving, k.capacity
 		}
@@ -104,7 +104,7 @@
 // rank counts the hosts that go before this one in reading the store for all: those that are
 // heard, reach it, and come before it by name.
 func (p *peers) rank(own fleet.Host, now time.Time) int {
-	fresh := mesh.PaceOf(p.size()).Fresh
+	fresh := mesh.IntervalsFor(p.size()).HeardWithin
 	n := 0
 	for name, k := range p.known {
 		if name < own && k.reads && !k.leaving && !k.storeless && now.Sub(k.heard) < fresh {
@@ -139,7 +139,7 @@
 		h.following.centres.Add(p.DataCentre)
 		h.expect(p, now)
 	}
-	if mesh.Large(h.peers.size()) {
+	if mesh.UsesRelays(h.peers.size()) {
 		h.meetAll(hs)
 		return
 	}
@@ -205,13 +205,13 @@
 // forget drops the hosts of a large fleet that have gone. A data centre of which nobody is heard is
 // cut off; its hosts stay as long as some of them are registered, as they may admit operations.
 func (h *Host) forget(now time.Time) {
-	if !mesh.Large(h.peers.size()) || now.Sub(h.peers.forgot) < forgetEvery {
+	if !mesh.UsesRelays(h.peers.size()) || now.Sub(h.peers.forgot) < forgetEvery {
 		return
 	}
 	h.peers.forgot = now
 	live := fleet.NewSet[fleet.DataCentre]()
 	for _, k := range h.peers.known {
-		if now.Sub(k.heard) < mesh.PaceOf(h.peers.size()).Fresh {
+		if now.Sub(k.heard) < mesh.IntervalsFor(h.peers.size()).HeardWithin {
 			live.Add(k.dataCentre)
 		}
 	}
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -39,7 +39,7 @@
 	reached := h.relay.Reachable()
 	news := len(doubts) > h.peers.doubted || len(reached) > h.peers.reached ||
 		h.peers.catalog != h.peers.told || h.peers.toldRole != h.following.role
-	early := now.Sub(h.peers.reported) < mesh.PaceOf(h.peers.size()).Report && !news
+	early := now.Sub(h.peers.reported) < mesh.IntervalsFor(h.peers.size()).Report && !news
 	if early || len(h.peers.addresses) == 0 {
 		return
 	}
@@ -54,24 +54,24 @@
 	digest, at := h.registry.InstancesDigest()
 	r := gossip.Report{
 		Host: h.settings.Host.Name, Leaving: h.relay.Draining(), Epoch: h.peers.epoch, Seq: h.peers.seq,
-		Reads: h.reads(), Storeless: h.reads() && !h.registry.StoreReachable(), Capacity: h.settings.Adapter.Capacity,
+		IsReader: h.reads(), StoreUnreachable: h.reads() && !h.registry.StoreReachable(), Capacity: h.settings.Adapter.Capacity,
 		Usages: h.rates.Usage(now, whole), Catalog: h.peers.catalog, Record: h.relay.RecordRevision(),
-		CatalogAge: now.Sub(h.registry.CatalogReadAt()), Reached: reached,
+		CatalogAge: now.Sub(h.registry.CatalogReadAt()), Reachable: reached,
 		Instances: digest, InstancesAge: now.Sub(at),
 	}
 	if whole {
 		r.Address, r.DataCentre = h.settings.Peer.Address, h.settings.Host.DataCentre
 	}
 	for i, d := range doubts {
-		r.Doubts = append(r.Doubts, gossip.Doubt{Instance: i, Silent: d})
+		r.Unreachable = append(r.Unreachable, gossip.UnreachableInstance{Instance: i, Silent: d})
 	}
 	to := mesh.Recipients(h.self(), h.peers.members(now))
 	h.gossip.Send(r, h.peers.at(to))
 }
 
 // self is this host as the mesh wants to know it.
-func (h *Host) self() mesh.Member {
-	return mesh.Member{
+func (h *Host) self() mesh.Peer {
+	return mesh.Peer{
 		Host: h.settings.Host.Name, DataCentre: h.settings.Host.DataCentre, Heard: true,
 		Leaving: h.relay.Draining(), Capacity: h.settings.Adapter.Capacity,
 	}
@@ -79,16 +79,16 @@
 
 // pass passes on what was heard to the hosts beside this one.
 func (h *Host) pass(now time.Time) {
-	waits := now.Sub(h.peers.passedAt) < mesh.PaceOf(h.peers.size()).Pass && !h.peers.urgent
+	waits := now.Sub(h.peers.passedAt) < mesh.IntervalsFor(h.peers.size()).Forward && !h.peers.urgent
 	if len(h.peers.passing) == 0 || waits {
 		return
 	}
 	self, others := h.self(), h.peers.members(now)
-	rs := h.peers.due(now, mesh.Hold(self, others))
+	rs := h.peers.due(now, mesh.ForwardDelay(self, others))
 	if len(rs) == 0 {
 		return
 	}
-	h.gossip.Pass(rs, h.peers.at(mesh.Beside(self.DataCentre, others)))
+	h.gossip.Forward(rs, h.peers.at(mesh.LocalRecipients(self.DataCentre, others)))
 	h.peers.passedAt = now
 }
 
@@ -116,7 +116,7 @@
 
 // passes reports whether what a host has told this one directly is to be passed on.
 func (h *Host) passes(from fleet.Host) bool {
-	return mesh.Passes(h.self(), h.peers.known[from].dataCentre, h.peers.members(clock.Now()))
+	return mesh.ForwardsFrom(h.self(), h.peers.known[from].dataCentre, h.peers.members(clock.Now()))
 }
 
 // take takes in another host's report.
@@ -138,15 +138,15 @@
 	if k.epoch != r.Epoch {
 		k.former = k.epoch
 	}
-	k.capacity, k.news = r.Capacity, len(r.Doubts)+len(r.Reached)
-	k.reads = r.Reads
-	k.heard, k.leaving, k.storeless, k.epoch, k.seq = now, r.Leaving, r.Storeless, r.Epoch, r.Seq
+	k.capacity, k.news = r.Capacity, len(r.Unreachable)+len(r.Reachable)
+	k.reads = r.IsReader
+	k.heard, k.leaving, k.storeless, k.epoch, k.seq = now, r.Leaving, r.StoreUnreachable, r.Epoch, r.Seq
 	h.rates.Heard(now, r.Host, r.Epoch, r.Seq, r.Usages)
-	is := make([]fleet.Instance, 0, len(r.Doubts))
-	for _, d := range r.Doubts {
+	is := make([]fleet.Instance, 0, len(r.Unreachable))
+	for _, d := range r.Unreachable {
 		is = append(is, d.Instance)
 	}
-	h.relay.AddReachability(r.Host, is, r.Reached)
+	h.relay.AddReachability(r.Host, is, r.Reachable)
 	if r.Record > h.relay.RecordRevision() {
 		h.registry.RefreshRecords()
 	}
--- a/io/forward/forward.go
+++ b/io/forward/forward.go
@@ -35,9 +35,9 @@
 	// Request and Reply are called with each message.
 	Request func(f relay.Forward)
 	Reply   func(stream uint64, a statement.Answer)
-	// Follow and News are called with what hosts tell each other of the store.
-	Follow func(f Follow)
-	News   func(n News)
+	// Follow and StoreUpdate are called with what hosts tell each other of the store.
+	Follow      func(f Follow)
+	StoreUpdate func(n StoreUpdate)
 	// Ping is called with a question for a sign of life, or with its answer.
 	Ping func(answer bool)
 }
@@ -67,9 +67,9 @@
 	case *forwardpb.Frame_Reply:
 		r.Reply(k.Reply.GetStream(), answer(k.Reply))
 	case *forwardpb.Frame_Follow:
-		r.Follow(Follow{Sent: fromMoment(k.Follow.GetSent()), Whole: k.Follow.GetWhole()})
+		r.Follow(Follow{Sent: fromMoment(k.Follow.GetSent()), Full: k.Follow.GetWhole()})
 	case *forwardpb.Frame_News:
-		r.News(news(k.News))
+		r.StoreUpdate(news(k.News))
 	case *forwardpb.Frame_Ping:
 		r.Ping(k.Ping.GetAnswer())
 	default:
--- a/io/forward/news.go
+++ b/io/forward/news.go
@@ -10,10 +10,10 @@
 )
 
 // Parts are parts of the store's content, as hosts pass them on.
-type Parts = map[follow.Part]follow.Copy[[]registry.Entry]
+type Parts = map[follow.Part]follow.PartCopy[[]registry.Entry]
 
-// News is what a host that reads the store passes on. All moments but EchoSent are of its clock.
-type News struct {
+// StoreUpdate is what a host that reads the store passes on. All moments but EchoSent are of its clock.
+type StoreUpdate struct {
 	// EchoSent is when the follower sent its last question, EchoHeard when that was heard.
 	EchoSent, EchoHeard time.Time
 	// Renewed is when the last renewal of the reader's registration was sent that has succeeded,
@@ -28,23 +28,23 @@
 type Follow struct {
 	// Sent is when it was sent, by the follower's clock.
 	Sent time.Time
-	// Whole asks for everything, whatever was passed on before.
-	Whole bool
+	// Full asks for everything, whatever was passed on before.
+	Full bool
 }
 
 // AppendFollow writes the question for news.
 func AppendFollow(b []byte, f Follow) []byte {
-	m := &forwardpb.Follow{Sent: toMoment(f.Sent), Whole: f.Whole}
+	m := &forwardpb.Follow{Sent: toMoment(f.Sent), Whole: f.Full}
 	return appendFrame(b, &forwardpb.Frame{Kind: &forwardpb.Frame_Follow{Follow: m}})
 }
 
-// AppendNews writes news.
-func AppendNews(b []byte, n News) []byte {
+// AppendStoreUpdate writes news.
+func AppendStoreUpdate(b []byte, n StoreUpdate) []byte {
 	m := &forwardpb.News{
 		EchoSent: toMoment(n.EchoSent), EchoHeard: toMoment(n.EchoHeard), Renewed: toMoment(n.Renewed),
 	}
 	for name, c := range n.Parts {
-		p := &forwardpb.Part{Name: string(name), Version: uint64(c.Version), Read: toMoment(c.Read), Whole: c.Whole}
+		p := &forwardpb.Part{Name: string(name), Version: uint64(c.Version), Read: toMoment(c.Read), Whole: c.HasBody}
 		for _, e := range c.Body {
 			p.Entries = append(p.Entries, &forwardpb.Entry{Key: e.Key, Value: e.Value, Revision: uint64(e.Revision)})
 		}
@@ -56,14 +56,14 @@
 	return appendFrame(b, &forwardpb.Frame{Kind: &forwardpb.Frame_News{News: m}})
 }
 
-func news(m *forwardpb.News) News {
-	n := News{
+func news(m *forwardpb.News) StoreUpdate {
+	n := StoreUpdate{
 		EchoSent: fromMoment(m.GetEchoSent()), EchoHeard: fromMoment(m.GetEchoHeard()),
 		Renewed: fromMoment(m.GetRenewed()), Parts: Parts{},
 	}
 	for _, p := range m.GetParts() {
-		c := follow.Copy[[]registry.Entry]{
-			Version: follow.Version(p.GetVersion()), Read: fromMoment(p.GetRead()), Whole: p.GetWhole(),
+		c := follow.PartCopy[[]registry.Entry]{
+			Version: follow.Version(p.GetVersion()), Read: fromMoment(p.GetRead()), HasBody: p.GetWhole(),
 		}
 		for _, e := range p.GetEntries() {
 			c.Body = append(c.Body, registry.Entry{
--- a/io/forward/news_test.go
+++ b/io/forward/news_test.go
@@ -15,25 +15,25 @@
 func TestNewsOfTheStoreArriveAsTheyWereSent(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(0, 86707276482797)
-	want := forward.News{
+	want := forward.StoreUpdate{
 		EchoSent: at, EchoHeard: at.Add(time.Hour), Renewed: at.Add(time.Second),
 		Parts: forward.Parts{
-			follow.PartCatalog: {Version: 7, Read: at, Whole: true, Body: []registry.Entry{
+			follow.PartCatalog: {Version: 7, Read: at, HasBody: true, Body: []registry.Entry{
 				{Key: "catalog", Value: []byte{0xff, 0}, Revision: 7},
 			}},
 			follow.PartInstances: {Version: 1 << 63, Read: at},
 		},
 		Centres: []fleet.DataCentre{"obihiro", "sapporo"},
 	}
-	var got []forward.News
+	var got []forward.StoreUpdate
 	var asked []forward.Follow
 	r := forward.Reader{
-		News:   func(n forward.News) { got = append(got, n) },
-		Follow: func(f forward.Follow) { asked = append(asked, f) },
+		StoreUpdate: func(n forward.StoreUpdate) { got = append(got, n) },
+		Follow:      func(f forward.Follow) { asked = append(asked, f) },
 	}
-	question := forward.Follow{Sent: at, Whole: true}
-	b := forward.AppendFollow(forward.AppendNews(nil, want), question)
-	b = forward.AppendNews(b, forward.News{})
+	question := forward.Follow{Sent: at, Full: true}
+	b := forward.AppendFollow(forward.AppendStoreUpdate(nil, want), question)
+	b = forward.AppendStoreUpdate(b, forward.StoreUpdate{})
 	for len(b) > 0 {
 		// A frame that isn't complete is waited for.
 		n, err := r.Take(b[:len(b)-1])
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -18,8 +18,8 @@
 	"skylarkdeal/io/gossip/gossippb"
 )
 
-// Doubt is an instance that a host can't reach.
-type Doubt struct {
+// UnreachableInstance is an instance that a host can't reach.
+type UnreachableInstance struct {
 	Instance fleet.Instance
 	Silent   time.Duration
 }
@@ -35,12 +35,12 @@
 	Epoch, Seq uint64
 	Leaving    bool
 	Capacity   fleet.Capacity
-	// Reads is set while the host reads the store, Storeless while it can't reach it.
-	Reads, Storeless bool
-	Usages           []share.Usage
-	Doubts           []Doubt
-	// Reached are the instances that the host can reach although another can't.
-	Reached []fleet.Instance
+	// IsReader is set while the host reads the store, StoreUnreachable while it can't reach it.
+	IsReader, StoreUnreachable bool
+	Usages                     []share.Usage
+	Unreachable                []UnreachableInstance
+	// Reachable are the instances that the host can reach although another can't.
+	Reachable []fleet.Instance
 	// Catalog is the revision of the newest change of the catalog, Record that of the newest record
 	// of a change of primary, that the host knows of.
 	Catalog, Record uint64
@@ -125,8 +125,8 @@
 	g.send(&gossippb.Datagram{Reports: []*gossippb.Report{toMessage(r)}}, to)
 }
 
-// Pass tells others what was heard.
-func (g *Gossip) Pass(rs []Report, to []*net.UDPAddr) {
+// Forward tells others what was heard.
+func (g *Gossip) Forward(rs []Report, to []*net.UDPAddr) {
 	for some := range slices.Chunk(rs, maxPassed) {
 		m := &gossippb.Datagram{Passed: true}
 		for _, r := range some {
@@ -150,7 +150,7 @@
 func toMessage(r Report) *gossippb.Report {
 	m := &gossippb.Report{
 		Host: string(r.Host), Epoch: r.Epoch, Seq: r.Seq, Leaving: r.Leaving,
-		Reads: r.Reads, Storeless: r.Storeless, Capacity: float64(r.Capacity),
+		Reads: r.IsReader, Storeless: r.StoreUnreachable, Capacity: float64(r.Capacity),
 		Catalog: r.Catalog, Record: r.Record, Address: r.Address,
 		DataCentre:   string(r.DataCentre),
 		CatalogAgeMs: ms(r.CatalogAge), Instances: r.Instances, InstancesAgeMs: ms(r.InstancesAge),
@@ -160,10 +160,10 @@
 			Account: string(u.Account), Admitted: u.Admitted, Demand: float32(u.Demand),
 		})
 	}
-	for _, i := range r.Reached {
+	for _, i := range r.Reachable {
 		m.Reached = append(m.Reached, string(i))
 	}
-	for _, d := range r.Doubts {
+	for _, d := range r.Unreachable {
 		m.Doubts = append(m.Doubts, &gossippb.Doubt{
 			Instance: string(d.Instance), SilentMs: uint32(d.Silent.Milliseconds()),
 		})
@@ -200,7 +200,7 @@
 func fromMessage(m *gossippb.Report) Report {
 	r := Report{
 		Host: fleet.Host(m.GetHost()), Epoch: m.GetEpoch(), Seq: m.GetSeq(), Leaving: m.GetLeaving(),
-		Reads: m.GetReads(), Storeless: m.GetStoreless(), Capacity: fleet.Capacity(m.GetCapacity()),
+		IsReader: m.GetReads(), StoreUnreachable: m.GetStoreless(), Capacity: fleet.Capacity(m.GetCapacity()),
 		Catalog: m.GetCatalog(), Record: m.GetRecord(), Address: m.GetAddress(),
 		DataCentre: fleet.DataCentre(m.GetDataCentre()),
 		CatalogAge: time.Duration(m.GetCatalogAgeMs()) * time.Millisecond,
@@ -212,10 +212,10 @@
 		})
 	}
 	for _, i := range m.GetReached() {
-		r.Reached = append(r.Reached, fleet.Instance(i))
+		r.Reachable = append(r.Reachable, fleet.Instance(i))
 	}
 	for _, d := range m.GetDoubts() {
-		r.Doubts = append(r.Doubts, Doubt{
+		r.Unreachable = append(r.Unreachable, UnreachableInstance{
 			Instance: fleet.Instance(d.GetInstance()), Silent: time.Duration(d.GetSilentMs()) * time.Millisecond,
 		})
 	}
--- a/io/gossip/gossip_test.go
+++ b/io/gossip/gossip_test.go
@@ -32,10 +32,10 @@
 	from, _ := start(c, func([]gossip.Report, bool) {})
 	want := gossip.Report{
 		Host: "h1", Address: "10.0.0.1:7560", DataCentre: "obihiro", Capacity: 0.12,
-		Epoch: 3, Seq: 9, Leaving: true, Reads: true, Storeless: true,
-		Usages:  []share.Usage{{Account: "hotel", Admitted: 4, Demand: 2.5}},
-		Doubts:  []gossip.Doubt{{Instance: "i-1", Silent: 400 * time.Millisecond}},
-		Reached: []fleet.Instance{"i-2"}, Catalog: 7, Record: 8, CatalogAge: time.Second,
+		Epoch: 3, Seq: 9, Leaving: true, IsReader: true, StoreUnreachable: true,
+		Usages:      []share.Usage{{Account: "hotel", Admitted: 4, Demand: 2.5}},
+		Unreachable: []gossip.UnreachableInstance{{Instance: "i-1", Silent: 400 * time.Millisecond}},
+		Reachable:   []fleet.Instance{"i-2"}, Catalog: 7, Record: 8, CatalogAge: time.Second,
 		Instances: 1 << 63, InstancesAge: 2 * time.Second,
 	}
 	address, err := net.ResolveUDPAddr("udp4", to)
@@ -73,7 +73,7 @@
 	for n := range rs {
 		rs[n] = gossip.Report{Host: fleet.Host("h" + strconv.Itoa(n)), Epoch: 1, Seq: 1}
 	}
-	from.Pass(rs, []*net.UDPAddr{address})
+	from.Forward(rs, []*net.UDPAddr{address})
 	total := 0
 	for total < len(rs) {
 		select {
--- a/io/registry/census.go
+++ b/io/registry/census.go
@@ -43,7 +43,7 @@
 func (r *Registry) census(ctx context.Context) follow.Role {
 	for n := range 2 {
 		if n > 0 {
-			pause.For(ctx, follow.FirstWait(r.cfg.Self.Capacity)+rand.N(censusSpread))
+			pause.For(ctx, follow.RegistrationDelay(r.cfg.Self.Capacity)+rand.N(censusSpread))
 		}
 		x, err := r.countHosts(ctx)
 		if err != nil {
@@ -52,7 +52,7 @@
 		}
 		here := func(h Host) bool { return h.DataCentre == r.cfg.Self.DataCentre }
 		switch {
-		case x.count > 0 && !mesh.Large(x.count):
+		case x.count > 0 && !mesh.UsesRelays(x.count):
 			return follow.RoleReader
 		case slices.ContainsFunc(x.registered, r.isSelf):
 			// The registration of the process before hasn't ended yet: those beside it may be as old, and
@@ -87,7 +87,7 @@
 	}
 	first := fleet.NewSet[fleet.Host]()
 	for _, cs := range by {
-		for _, c := range follow.First(cs) {
+		for _, c := range follow.StrongestCandidates(cs) {
 			first.Add(c.Host)
 		}
 	}
@@ -129,7 +129,7 @@
 	r.readersTold.Store(namesOf(x.readers))
 	r.takeReaders(x.readers)
 	known := x.registered
-	if mesh.Large(x.count) {
+	if mesh.UsesRelays(x.count) {
 		known = firstReaders(known)
 	}
 	r.cfg.Post(func() {
@@ -204,12 +204,12 @@
 // newsForStarts returns what has to be written for hosts that start, and what to note once it is.
 func (r *Registry) newsForStarts(n int) (puts []Put, done func()) {
 	told := int(r.told.Load())
-	stands := told > 0 && mesh.Large(told) == mesh.Large(n)
+	stands := told > 0 && mesh.UsesRelays(told) == mesh.UsesRelays(n)
 	if !stands {
 		puts = append(puts, Put{Key: r.countKey(), Value: []byte(strconv.Itoa(n))})
 	}
 	names := ""
-	if hs := r.lastReaders(); len(hs) > 0 && mesh.Large(n) {
+	if hs := r.lastReaders(); len(hs) > 0 && mesh.UsesRelays(n) {
 		names = namesOf(hs)
 		b, err := json.Marshal(hs)
 		if err != nil {
--- a/io/registry/follow.go
+++ b/io/registry/follow.go
@@ -26,19 +26,19 @@
 
 // ApplyPart takes in a part of the store that another host has read, under a moment of this host's
 // clock that isn't after its reading.
-func (r *Registry) ApplyPart(p follow.Part, c follow.Copy[[]Entry]) {
+func (r *Registry) ApplyPart(p follow.Part, c follow.PartCopy[[]Entry]) {
 	switch p {
 	case follow.PartCatalog:
-		if c.Whole {
+		if c.HasBody {
 			r.takeCatalog(snapshot{entries: c.Body, changed: Revision(c.Version)})
 		}
 		r.CatalogConfirmed(c.Read)
 	case follow.PartInstances:
-		if c.Whole {
+		if c.HasBody {
 			r.takeInstances(c.Body, c.Read)
 		}
 	case follow.PartRecords:
-		if c.Whole {
+		if c.HasBody {
 			for _, rec := range r.parseRecords(c.Body) {
 				r.cfg.Record(rec)
 			}
@@ -53,6 +53,6 @@
 	if r.cfg.PartRead == nil || r.Role() != follow.RoleReader {
 		return
 	}
-	c := follow.Copy[[]Entry]{Version: v, Read: read, Whole: true, Body: es}
+	c := follow.PartCopy[[]Entry]{Version: v, Read: read, HasBody: true, Body: es}
 	r.cfg.Post(func() { r.cfg.PartRead(p, c) })
 }
--- a/io/registry/follow_test.go
+++ b/io/registry/follow_test.go
@@ -16,7 +16,7 @@
 type roles struct {
 	role   follow.Role
 	count  int
-	copies follow.Copies[[]registry.Entry]
+	copies follow.PartCache[[]registry.Entry]
 }
 
 // joinLarge starts a registry that finds out its role by itself.
@@ -25,7 +25,7 @@
 	cfg := config(s, t, 0, time.Second, 0)
 	cfg.ElectReaders, cfg.HostCount = true, func(n int) { x.count = n }
 	cfg.Role = func(r follow.Role) { x.role = r }
-	cfg.PartRead = func(p follow.Part, o follow.Copy[[]registry.Entry]) { x.copies.Put(p, o.Version, o.Read, o.Body) }
+	cfg.PartRead = func(p follow.Part, o follow.PartCopy[[]registry.Entry]) { x.copies.Put(p, o.Version, o.Read, o.Body) }
 	return start(c, cfg), t, x
 }
 
@@ -156,7 +156,7 @@
 	cfg := config(s, got, 0, time.Second, 0)
 	cfg.ElectReaders, cfg.Role, cfg.HostCount = true, func(follow.Role) {}, func(int) {}
 	copied, early := false, false
-	cfg.PartRead = func(p follow.Part, o follow.Copy[[]registry.Entry]) {
+	cfg.PartRead = func(p follow.Part, o follow.PartCopy[[]registry.Entry]) {
 		copied = copied || p == follow.PartRecords && len(o.Body) == 1
 	}
 	cfg.RegistrationRenewed = func(time.Time) { early = early || !copied; got.renewed++ }
@@ -174,7 +174,7 @@
 	r, got, x := joinLarge(c, s)
 	until(c, got, "a role", func() bool { return x.role != "" })
 	take := func(p follow.Part, e registry.Entry) {
-		r.ApplyPart(p, follow.Copy[[]registry.Entry]{Version: 9, Read: time.Now(), Whole: true, Body: []registry.Entry{e}})
+		r.ApplyPart(p, follow.PartCopy[[]registry.Entry]{Version: 9, Read: time.Now(), HasBody: true, Body: []registry.Entry{e}})
 	}
 	take(follow.PartCatalog, registry.Entry{Key: "catalog", Value: []byte("7"), Revision: 9})
 	take(follow.PartCatalog, registry.Entry{Key: "catalog", Value: []byte("rubbish"), Revision: 10})
@@ -198,7 +198,7 @@
 	s.put("our/primaries/orders", `{"service":"orders","term":2}`)
 	r, got, x := joinLarge(c, s)
 	has := map[follow.Part]follow.Version{}
-	records := func() int { return len(x.copies.For(has)[follow.PartRecords].Body) }
+	records := func() int { return len(x.copies.UpdatesFor(has)[follow.PartRecords].Body) }
 	until(c, got, "the record", func() bool { return records() == 1 })
 	s.mu.Lock()
 	s.entries["our/primaries/ledger"] = registry.Entry{
--- a/io/registry/registry.go
+++ b/io/registry/registry.go
@@ -53,7 +53,7 @@
 	ElectReaders bool
 	// PartRead takes in each part of the store as it was read, for the hosts that follow this one.
 	// It may be nil. Role takes in the role that the registry begins with.
-	PartRead func(p follow.Part, c follow.Copy[[]Entry])
+	PartRead func(p follow.Part, c follow.PartCopy[[]Entry])
 	Role     func(x follow.Role)
 
 	Catalog func(c *catalog.Catalog)
