--- a/core/roster/lease.go
+++ b/core/roster/lease.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// Stands reports whether the lease stands at now, by a clock that has counted
+// Valid reports whether the lease stands at now, by a clock that has counted
 // any pause of the host.
-func (l *Lease) Stands(now time.Time) bool {
+func (l *Lease) Valid(now time.Time) bool {
 	return now.Before(l.until)
 }
 
@@ -40,9 +40,9 @@
 	return l.until
 }
 
-// Lapsed notes that a new registration is needed; its name must not have been
+// Reregister notes that a new registration is needed; its name must not have been
 // used before. It must not be called while the lease stands: a successor that
 // sees the new registration takes the old one's duties at once.
-func (l *Lease) Lapsed(name uint64) {
+func (l *Lease) Reregister(name uint64) {
 	*l = Lease{Name: name}
 }
--- a/core/roster/roles.go
+++ b/core/roster/roles.go
@@ -44,10 +44,10 @@
 	return Duty("home\x00" + string(d) + "\x00" + strconv.Itoa(int(h)))
 }
 
-// Winner returns the host among members that has the duty, or none. Leaving
+// DutyHolder returns the host among members that has the duty, or none. Leaving
 // hosts get no duty as long as any other host is there. The order of members
 // makes no difference, and a host that comes or goes moves only its own duties.
-func Winner(members []fleet.Member, d Duty) (fleet.Member, bool) {
+func DutyHolder(members []fleet.Member, d Duty) (fleet.Member, bool) {
 	m := eligible(members)
 	if len(m) == 0 {
 		return fleet.Member{}, false
@@ -61,13 +61,13 @@
 	return m[i], true
 }
 
-// Ranked returns the members in the order in which the duty falls to them: each
+// RankForDuty returns the members in the order in which the duty falls to them: each
 // is the winner when those before it are gone.
-func Ranked(members []fleet.Member, d Duty) []fleet.Member {
+func RankForDuty(members []fleet.Member, d Duty) []fleet.Member {
 	rest := slices.Clone(members)
 	out := make([]fleet.Member, 0, len(members))
 	for len(rest) > 0 {
-		w, _ := Winner(rest, d)
+		w, _ := DutyHolder(rest, d)
 		out = append(out, w)
 		rest = slices.DeleteFunc(rest, func(e fleet.Member) bool { return e.Host == w.Host })
 	}
@@ -84,7 +84,7 @@
 	return m
 }
 
-// In returns the members in data centre d.
-func In(members []fleet.Member, d fleet.DataCentre) []fleet.Member {
+// InDataCentre returns the members in data centre d.
+func InDataCentre(members []fleet.Member, d fleet.DataCentre) []fleet.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(e fleet.Member) bool { return e.DataCentre != d })
 }
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -16,9 +16,9 @@
 	// Epoch is the start time of the host's process in nanoseconds, so that a
 	// later process of one host has the higher epoch.
 	Epoch uint64 `json:"epoch"`
-	// Beat is raised by the host itself and only by it: a beat that rises proves
+	// Heartbeat is raised by the host itself and only by it: a beat that rises proves
 	// that the host was alive, over however many hosts the news came.
-	Beat uint64 `json:"beat"`
+	Heartbeat uint64 `json:"beat"`
 	// Lease names the registration in the store under which the record stands;
 	// zero in a record that came from a peer.
 	Lease uint64 `json:"lease,omitempty"`
@@ -26,11 +26,11 @@
 
 // newer reports whether r is of a later process, or a later beat, than o.
 func (r Record) newer(o Record) bool {
-	return cmp.Or(cmp.Compare(r.Epoch, o.Epoch), cmp.Compare(r.Beat, o.Beat)) > 0
+	return cmp.Or(cmp.Compare(r.Epoch, o.Epoch), cmp.Compare(r.Heartbeat, o.Heartbeat)) > 0
 }
 
-// Listed is a host on the platform's own list, which lags behind.
-type Listed struct {
+// PlatformMember is a host on the platform's own list, which lags behind.
+type PlatformMember struct {
 	Member fleet.Member
 }
 
@@ -93,9 +93,9 @@
 	return changed
 }
 
-// Stored takes in the whole list of the store. A record there proves a host live
+// MergeStore takes in the whole list of the store. A record there proves a host live
 // only while its lease stands, so it doesn't count as a beat.
-func (r *Roster) Stored(now time.Time, records []Record) {
+func (r *Roster) MergeStore(now time.Time, records []Record) {
 	for _, k := range r.hosts {
 		k.stored = time.Time{}
 	}
@@ -112,9 +112,9 @@
 	}
 }
 
-// Platform takes in the platform's list. Because it lags, it can mark a host as
+// MergePlatform takes in the platform's list. Because it lags, it can mark a host as
 // leaving and name hosts to ask at the start, but can't make one live.
-func (r *Roster) Platform(listed []Listed) {
+func (r *Roster) MergePlatform(listed []PlatformMember) {
 	for _, l := range listed {
 		if k := r.hosts[l.Member.Host]; k != nil {
 			k.leaving = l.Member.Leaving
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -29,16 +29,16 @@
 }
 
 func record(n int, epoch, beat uint64) roster.Record {
-	return roster.Record{Member: member(n), Epoch: epoch, Beat: beat}
+	return roster.Record{Member: member(n), Epoch: epoch, Heartbeat: beat}
 }
 
-func ExampleWinner() {
+func ExampleDutyHolder() {
 	members := []fleet.Member{member(1), member(2), member(3)}
-	before, _ := roster.Winner(members, roster.Watcher("cellar"))
+	before, _ := roster.DutyHolder(members, roster.Watcher("cellar"))
 	members[0].Leaving = before.Host == "h1"
 	members[1].Leaving = before.Host == "h2"
 	members[2].Leaving = before.Host == "h3"
-	after, _ := roster.Winner(members, roster.Watcher("cellar"))
+	after, _ := roster.DutyHolder(members, roster.Watcher("cellar"))
 	fmt.Println(before.Host != after.Host)
 	// Output: true
 }
@@ -59,15 +59,15 @@
 		turned := append(append([]fleet.Member{}, all[1:]...), all[0])
 		for s := range roster.Shards {
 			d := roster.Home("riga-1", roster.Shard(s))
-			was, _ := roster.Winner(all, d)
-			now, _ := roster.Winner(rest, d)
-			if w, _ := roster.Winner(turned, d); w != was {
+			was, _ := roster.DutyHolder(all, d)
+			now, _ := roster.DutyHolder(rest, d)
+			if w, _ := roster.DutyHolder(turned, d); w != was {
 				t.Fatalf("the order of the members matters: %v, %v", w, was)
 			}
 			if was != member(gone) && now != was {
 				t.Fatalf("duty moved from %v to %v as %v went", was, now, member(gone))
 			}
-			ranked := roster.Ranked(all, d)
+			ranked := roster.RankForDuty(all, d)
 			if ranked[0] != was || was == member(gone) && ranked[1] != now {
 				t.Fatalf("ranked %v", ranked)
 			}
@@ -82,7 +82,7 @@
 		m = append(m, member(i))
 	}
 	for s := range 100 * roster.Shards {
-		w, _ := roster.Winner(m, roster.Home("riga-1", roster.Shard(s)))
+		w, _ := roster.DutyHolder(m, roster.Home("riga-1", roster.Shard(s)))
 		count[w.Host]++
 	}
 	for h, n := range count {
@@ -95,7 +95,7 @@
 func TestStoreOutageThrowsNoOneOut(t *testing.T) {
 	c := qt.New(t)
 	r := roster.Roster{Self: "h1"}
-	r.Stored(epoch, []roster.Record{record(1, 1, 1), record(2, 1, 1), record(3, 1, 1)})
+	r.MergeStore(epoch, []roster.Record{record(1, 1, 1), record(2, 1, 1), record(3, 1, 1)})
 	now := epoch
 	for beat := uint64(2); beat < 600; beat++ {
 		now = now.Add(time.Second)
@@ -119,10 +119,10 @@
 	now := epoch
 	for range 100 {
 		now = now.Add(time.Second)
-		r.Stored(now, []roster.Record{record(1, 1, 1), record(2, 1, 1)})
+		r.MergeStore(now, []roster.Record{record(1, 1, 1), record(2, 1, 1)})
 	}
 	c.Assert(r.Members(now), qt.DeepEquals, []fleet.Member{member(1), member(2)})
-	r.Stored(now, []roster.Record{record(1, 1, 1)})
+	r.MergeStore(now, []roster.Record{record(1, 1, 1)})
 	c.Assert(r.Members(now), qt.DeepEquals, []fleet.Member{member(1)}, qt.Commentf("its lease has ended"))
 }
 
@@ -150,7 +150,7 @@
 	leaving := member(2)
 	leaving.Leaving = true
 	r.Merge(epoch, []roster.Record{record(1, 1, 1), record(2, 1, 1)})
-	r.Platform([]roster.Listed{{Member: leaving}, {Member: member(9)}})
+	r.MergePlatform([]roster.PlatformMember{{Member: leaving}, {Member: member(9)}})
 	c.Assert(r.Members(epoch), qt.DeepEquals, []fleet.Member{member(1), leaving})
 	c.Assert(r.Silent(epoch), qt.DeepEquals, []fleet.Member{member(9)}, qt.Commentf("may be asked, isn't live"))
 	r.Merge(epoch, []roster.Record{record(2, 2, 1)})
@@ -162,10 +162,10 @@
 func TestLeaseEndsByTheHostsOwnClock(t *testing.T) {
 	c := qt.New(t)
 	var l roster.Lease
-	c.Assert(l.Stands(epoch), qt.IsFalse)
+	c.Assert(l.Valid(epoch), qt.IsFalse)
 	l.Renewed(epoch)
-	c.Assert(l.Stands(epoch.Add(roster.LeaseFor*8/10)), qt.IsTrue)
-	c.Assert(l.Stands(epoch.Add(roster.LeaseFor*9/10)), qt.IsFalse, qt.Commentf("the margin for a slow clock"))
+	c.Assert(l.Valid(epoch.Add(roster.LeaseFor*8/10)), qt.IsTrue)
+	c.Assert(l.Valid(epoch.Add(roster.LeaseFor*9/10)), qt.IsFalse, qt.Commentf("the margin for a slow clock"))
 	l.Renewed(epoch.Add(-time.Second))
-	c.Assert(l.Stands(epoch.Add(roster.LeaseFor*8/10)), qt.IsTrue, qt.Commentf("a late answer takes nothing away"))
+	c.Assert(l.Valid(epoch.Add(roster.LeaseFor*8/10)), qt.IsTrue, qt.Commentf("a late answer takes nothing away"))
 }
--- a/internal/experiment/rates/seats.go
+++ b/internal/experiment/rates/seats.go
@@ -12,7 +12,7 @@
 
 // renew keeps the lease, as io/members does.
 func (h *Host) renew() {
-	if !h.lease.Stands(h.late()) {
+	if !h.lease.Valid(h.late()) {
 		h.register()
 		return
 	}
@@ -33,7 +33,7 @@
 
 func (h *Host) register() {
 	name, sent := h.w.random.Uint64(), h.late()
-	h.lease.Lapsed(name)
+	h.lease.Reregister(name)
 	storeCall(h, func() bool {
 		h.w.leases[h.name] = lease{name, h.w.now + roster.LeaseFor}
 		return true
@@ -74,11 +74,11 @@
 			return
 		}
 		another := h.w.Chaos && h.w.random.IntN(5) == 0
-		if !another && h.lease.Name == h.seat.Record().Lease || !h.lease.Stands(now) {
+		if !another && h.lease.Name == h.seat.Record().Lease || !h.lease.Valid(now) {
 			return
 		}
 	}
-	if h.lease.Stands(now) && (h.seat.Held() || h.wants()) {
+	if h.lease.Valid(now) && (h.seat.Held() || h.wants()) {
 		h.tryClaim()
 	}
 }
--- a/internal/slopes/tables.go
+++ b/internal/slopes/tables.go
@@ -108,7 +108,7 @@
 		{Name: "a", DataCentre: centre(0)}, {Name: "b", DataCentre: centre(perCentre)}, {Name: "c", DataCentre: centre(0)},
 	}}
 	list := r.Members()
-	here := roster.In(list, self.DataCentre)
+	here := roster.InDataCentre(list, self.DataCentre)
 	return row{values: []float64{float64(hosts), float64(len(digest)),
 		micros(func() { _, _ = proto.Marshal(&hostpb.DigestRequest{Members: r.Records()}) }),
 		micros(func() {
@@ -123,7 +123,7 @@
 		micros(func() { r.IsWatcher() }),
 		micros(func() {
 			for h := range roster.Shards {
-				roster.Winner(here, roster.Home(self.DataCentre, roster.Shard(h)))
+				roster.DutyHolder(here, roster.Home(self.DataCentre, roster.Shard(h)))
 			}
 		}) / 1e3,
 	}}, nil
--- a/io/grants/claims.go
+++ b/io/grants/claims.go
@@ -258,7 +258,7 @@
 // centre cut off from all else can go on.
 func (r *Runtime) pickWitness() allot.Process {
 	m := r.cfg.Members()
-	for _, e := range append(roster.In(m, r.cfg.DataCentre), m...) {
+	for _, e := range append(roster.InDataCentre(m, r.cfg.DataCentre), m...) {
 		if e.Host == r.cfg.Host || e.Leaving {
 			continue
 		}
--- a/io/grants/homes.go
+++ b/io/grants/homes.go
@@ -58,8 +58,8 @@
 
 // winner returns the host to which the duty of home falls, unless it is this.
 func (r *Runtime) winner(h roster.Shard) fleet.Host {
-	here := roster.In(r.cfg.Members(), r.cfg.DataCentre)
-	w, ok := roster.Winner(here, roster.Home(r.cfg.DataCentre, h))
+	here := roster.InDataCentre(r.cfg.Members(), r.cfg.DataCentre)
+	w, ok := roster.DutyHolder(here, roster.Home(r.cfg.DataCentre, h))
 	if !ok || w.Host == r.cfg.Host {
 		return ""
 	}
--- a/io/grants/seats.go
+++ b/io/grants/seats.go
@@ -87,10 +87,10 @@
 		r.takeUnfenced()
 		return
 	}
-	here := roster.In(r.cfg.Members(), r.cfg.DataCentre)
+	here := roster.InDataCentre(r.cfg.Members(), r.cfg.DataCentre)
 	var claims []roster.Shard
 	for h := roster.Shard(0); h < roster.Shards; h++ {
-		w, ok := roster.Winner(here, roster.Home(r.cfg.DataCentre, h))
+		w, ok := roster.DutyHolder(here, roster.Home(r.cfg.DataCentre, h))
 		mine := ok && w.Host == r.cfg.Host && !w.Leaving
 		renewed := r.renew(h)
 		r.yield(h, mine)
@@ -132,9 +132,9 @@
 // takeUnfenced holds every seat that falls to this host by its own roster.
 func (r *Runtime) takeUnfenced() {
 	forever := r.clock.late().Add(time.Hour)
-	here := roster.In(r.cfg.Members(), r.cfg.DataCentre)
+	here := roster.InDataCentre(r.cfg.Members(), r.cfg.DataCentre)
 	for h := roster.Shard(0); h < roster.Shards; h++ {
-		w, ok := roster.Winner(here, roster.Home(r.cfg.DataCentre, h))
+		w, ok := roster.DutyHolder(here, roster.Home(r.cfg.DataCentre, h))
 		r.mu.Lock()
 		s := r.seat(h)
 		switch {
--- a/io/grants/send.go
+++ b/io/grants/send.go
@@ -67,7 +67,7 @@
 // target returns the host to ask for a shard of data centre d.
 func (r *Runtime) target(d fleet.DataCentre, h roster.Shard) (fleet.Member, bool) {
 	n := seatName(d, h)
-	there := roster.In(r.cfg.Members(), d)
+	there := roster.InDataCentre(r.cfg.Members(), d)
 	if len(there) == 0 {
 		return fleet.Member{}, false
 	}
@@ -76,7 +76,7 @@
 			return m, true
 		}
 	}
-	ranked := roster.Ranked(there, roster.Home(d, h))
+	ranked := roster.RankForDuty(there, roster.Home(d, h))
 	return ranked[r.out.at[n]%len(ranked)], true
 }
 
--- a/io/members/members.go
+++ b/io/members/members.go
@@ -108,7 +108,7 @@
 		cfg.Logger = zap.NewNop()
 	}
 	r := &Runtime{cfg: cfg, roster: roster.Roster{Self: cfg.Self.Host}}
-	r.lease.Lapsed(rand.Uint64())
+	r.lease.Reregister(rand.Uint64())
 	r.calls = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: "skylarkdeal", Subsystem: "members", Name: "store_calls_total",
 		Help: "Calls of the platform's store for membership.",
@@ -165,7 +165,7 @@
 	now := r.cfg.Now()
 	own := []roster.Record{r.record()}
 	for _, m := range r.cfg.Fixed {
-		own = append(own, roster.Record{Member: m, Epoch: 1, Beat: r.beat})
+		own = append(own, roster.Record{Member: m, Epoch: 1, Heartbeat: r.beat})
 	}
 	r.roster.Merge(now, own)
 	r.roster.Forget(now)
@@ -177,7 +177,7 @@
 func (r *Runtime) record() roster.Record {
 	m := r.cfg.Self
 	m.Leaving = m.Leaving || r.leaving
-	return roster.Record{Member: m, Epoch: r.cfg.Epoch, Beat: r.beat}
+	return roster.Record{Member: m, Epoch: r.cfg.Epoch, Heartbeat: r.beat}
 }
 
 // publish replaces the snapshot if it has changed and tells those who listen.
@@ -218,7 +218,7 @@
 		}
 		last = now
 		r.mu.Lock()
-		r.roster.Stored(now, records)
+		r.roster.MergeStore(now, records)
 		r.mu.Unlock()
 		r.publish()
 		return nil
@@ -247,12 +247,12 @@
 	if err != nil {
 		return failure.At(err, "list hosts", "platform")
 	}
-	listed := make([]roster.Listed, len(m))
+	listed := make([]roster.PlatformMember, len(m))
 	for i, e := range m {
-		listed[i] = roster.Listed{Member: e}
+		listed[i] = roster.PlatformMember{Member: e}
 	}
 	r.mu.Lock()
-	r.roster.Platform(listed)
+	r.roster.MergePlatform(listed)
 	r.mu.Unlock()
 	r.publish()
 	return nil
--- a/io/members/store.go
+++ b/io/members/store.go
@@ -22,7 +22,7 @@
 func (r *Runtime) Renew(ctx context.Context) error {
 	r.mu.Lock()
 	sent := r.cfg.Now()
-	id, closed, stands := r.id, r.closed, r.lease.Stands(sent)
+	id, closed, stands := r.id, r.closed, r.lease.Valid(sent)
 	r.mu.Unlock()
 	if closed {
 		return nil
@@ -39,7 +39,7 @@
 		return nil
 	}
 	if errors.Is(err, ErrLeaseGone) && !stands {
-		r.lease.Lapsed(rand.Uint64())
+		r.lease.Reregister(rand.Uint64())
 		r.id = 0
 	}
 	return failure.At(err, "renew lease", "store")
@@ -50,7 +50,7 @@
 	sent := r.cfg.Now()
 	// A registration whose answer was lost may stand in the store, so each try
 	// has a name of its own.
-	r.lease.Lapsed(rand.Uint64())
+	r.lease.Reregister(rand.Uint64())
 	rec := r.record()
 	rec.Lease = r.lease.Name
 	r.mu.Unlock()
--- a/io/members/view.go
+++ b/io/members/view.go
@@ -32,14 +32,14 @@
 // data centre.
 func (r *Runtime) IsWatcher() bool {
 	d := r.cfg.Self.DataCentre
-	w, ok := roster.Winner(roster.In(r.Members(), d), roster.Watcher(d))
+	w, ok := roster.DutyHolder(roster.InDataCentre(r.Members(), d), roster.Watcher(d))
 	return ok && w.Host == r.cfg.Self.Host
 }
 
 // Home returns the host that is to be the account's home in this data centre.
 func (r *Runtime) Home(s fleet.Service, a fleet.Account) (fleet.Member, bool) {
 	d := r.cfg.Self.DataCentre
-	return roster.Winner(roster.In(r.Members(), d), roster.Home(d, roster.ShardOf(s, a)))
+	return roster.DutyHolder(roster.InDataCentre(r.Members(), d), roster.Home(d, roster.ShardOf(s, a)))
 }
 
 // OnChange calls f with the members whenever they change.
@@ -85,7 +85,7 @@
 	for _, e := range r.roster.Records(r.cfg.Now()) {
 		out = append(out, &hostpb.Member{
 			Host: string(e.Member.Host), DataCentre: string(e.Member.DataCentre), Peer: e.Member.Peer,
-			Leaving: e.Member.Leaving, Epoch: e.Epoch, Beat: e.Beat,
+			Leaving: e.Member.Leaving, Epoch: e.Epoch, Beat: e.Heartbeat,
 		})
 	}
 	return out
@@ -97,7 +97,7 @@
 			Host: fleet.Host(m.GetHost()), DataCentre: fleet.DataCentre(m.GetDataCentre()),
 			Peer: m.GetPeer(), Leaving: m.GetLeaving(),
 		},
-		Epoch: m.GetEpoch(), Beat: m.GetBeat(),
+		Epoch: m.GetEpoch(), Heartbeat: m.GetBeat(),
 	}
 }
 
