--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -27,9 +27,9 @@
 	var q admit.Queue
 	now := time.Unix(0, 0)
 	for key := range uint64(3) {
-		q.Offer(now, admit.Item{Key: key, Account: "hotel", Intent: exchange.IntentWrite})
+		q.Enqueue(now, admit.Item{Key: key, Account: "hotel", Intent: exchange.IntentWrite})
 	}
-	q.Offer(now, admit.Item{Key: 9, Account: "bakery", Intent: exchange.IntentWrite})
+	q.Enqueue(now, admit.Item{Key: 9, Account: "bakery", Intent: exchange.IntentWrite})
 	anywhere := func(admit.Item) bool { return true }
 	for range 4 {
 		i, _ := q.Next(now, anywhere)
@@ -196,9 +196,9 @@
 	c := qt.New(t)
 	q := admit.Queue{Limits: admit.Limits{PerAccount: 100, Total: 100}}
 	for k := range uint64(150) {
-		q.Offer(epoch, admit.Item{Key: k, Account: "hotel", Weight: 1})
+		q.Enqueue(epoch, admit.Item{Key: k, Account: "hotel", Weight: 1})
 	}
-	v := q.Offer(epoch, admit.Item{Key: 1000, Account: "hotel", Weight: 1, Pinned: true})
+	v := q.Enqueue(epoch, admit.Item{Key: 1000, Account: "hotel", Weight: 1, Pinned: true})
 	c.Assert(v.Refusal == nil, qt.IsTrue, qt.Commentf("the queue is full, and it is taken all the same"))
 	i, ok := q.Next(epoch, func(admit.Item) bool { return true })
 	c.Assert(ok, qt.IsTrue)
@@ -212,10 +212,10 @@
 	var q admit.Queue
 	anywhere := func(admit.Item) bool { return true }
 	for k := range uint64(2) {
-		q.Offer(epoch, admit.Item{Key: k, Account: "a", Weight: 1})
+		q.Enqueue(epoch, admit.Item{Key: k, Account: "a", Weight: 1})
 	}
 	for k := range uint64(20) {
-		q.Offer(epoch, admit.Item{Key: 100 + k, Account: "b", Weight: 1})
+		q.Enqueue(epoch, admit.Item{Key: 100 + k, Account: "b", Weight: 1})
 	}
 	i, _ := q.Next(epoch, anywhere)
 	c.Assert(i.Account, qt.Equals, fleet.Account("a"))
@@ -233,7 +233,7 @@
 	var q admit.Queue
 	offer := func(key uint64, at time.Duration) bool {
 		now := epoch.Add(at)
-		return q.Offer(now, admit.Item{Key: key, Account: "a", Deadline: now.Add(second)}).Refusal == nil
+		return q.Enqueue(now, admit.Item{Key: key, Account: "a", Deadline: now.Add(second)}).Refusal == nil
 	}
 	c.Assert(offer(1, 0), qt.IsTrue)
 	c.Assert(offer(2, second/2), qt.IsTrue)
@@ -270,7 +270,7 @@
 				if d := rapid.IntRange(0, 200).Draw(t, "deadline"); d > 0 {
 					i.Deadline = now.Add(time.Duration(d) * time.Millisecond)
 				}
-				if q.Offer(now, i).Refusal == nil {
+				if q.Enqueue(now, i).Refusal == nil {
 					waiting[key] = i
 				}
 			},
@@ -303,7 +303,7 @@
 			},
 			"withdraw": func(t *rapid.T) {
 				k := rapid.Uint64Range(0, key).Draw(t, "key")
-				if _, there := waiting[k]; q.Withdraw(k) != there {
+				if _, there := waiting[k]; q.Remove(k) != there {
 					t.Fatalf("withdraw %d, waiting %t", k, there)
 				}
 				delete(waiting, k)
--- a/core/admit/history.go
+++ b/core/admit/history.go
@@ -49,7 +49,7 @@
 	} else {
 		h.short[l] += (took - h.short[l]) / weightUpwards
 	}
-	k := kind{i.Account, lane(i.Intent), i.Kind}
+	k := kind{i.Account, lane(i.Intent), i.TextHash}
 	h.kinds[k] = blend(h.kinds[k], took)
 }
 
@@ -62,7 +62,7 @@
 
 // expect returns the slot time that i is expected to take.
 func (h *history) expect(i Item) time.Duration {
-	if d, ok := h.kinds[kind{i.Account, lane(i.Intent), i.Kind}]; ok {
+	if d, ok := h.kinds[kind{i.Account, lane(i.Intent), i.TextHash}]; ok {
 		return d
 	}
 	if h.all > 0 {
@@ -74,6 +74,6 @@
 // long reports whether i is expected to hold its slot for much longer than
 // others. Work of an unknown kind counts as short until it has been seen once.
 func (h *history) long(i Item, after time.Duration) bool {
-	d, ok := h.kinds[kind{i.Account, lane(i.Intent), i.Kind}]
+	d, ok := h.kinds[kind{i.Account, lane(i.Intent), i.TextHash}]
 	return ok && d >= after && d >= longTimes*h.short[lane(i.Intent)]
 }
--- a/core/admit/next.go
+++ b/core/admit/next.go
@@ -151,9 +151,9 @@
 	q.forget(s.account)
 }
 
-// Withdraw takes a waiting item out, for a caller that is gone or cancels. It
+// Remove takes a waiting item out, for a caller that is gone or cancels. It
 // reports whether the item was waiting and so has not been run.
-func (q *Queue) Withdraw(key uint64) bool {
+func (q *Queue) Remove(key uint64) bool {
 	gone := q.remove(func(w waiting) bool { return w.Key == key })
 	return len(gone) > 0
 }
@@ -162,14 +162,14 @@
 // refused as soon as that is known, not at their deadline: the caller gets the
 // time that is left to ask again, and no slot works for an answer that nobody
 // waits for.
-func (q *Queue) Expire(now time.Time) []Refused {
+func (q *Queue) Expire(now time.Time) []Expired {
 	gone := q.remove(func(w waiting) bool { return late(now, w.need, w.Deadline) })
 	q.refused += len(gone)
-	out := make([]Refused, len(gone))
+	out := make([]Expired, len(gone))
 	for n, w := range gone {
 		l := lane(w.Intent)
 		after := q.backlog[l] / time.Duration(q.slots(l))
-		out[n] = Refused{Item: w.Item, Refusal: refusal("the deadline can't be met", after)}
+		out[n] = Expired{Item: w.Item, Refusal: refusal("the deadline can't be met", after)}
 	}
 	return out
 }
--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -50,8 +50,8 @@
 	Weight   float64
 	Deadline time.Time
 	Intent   exchange.Intent
-	// Kind tells statements of one text from others, as a hash; zero is unknown.
-	Kind uint64
+	// TextHash tells statements of one text from others, as a hash; zero is unknown.
+	TextHash uint64
 	// Pinned is set for an exchange of an open transaction.
 	Pinned bool
 	// Long is set by the queue when the slot time is expected to be long, for
@@ -59,13 +59,13 @@
 	Long bool
 }
 
-// Verdict is the answer to an offer: a nil Refusal means that the item waits.
-type Verdict struct {
+// EnqueueResult is the answer to an offer: a nil Refusal means that the item waits.
+type EnqueueResult struct {
 	Refusal *failure.Refusal
 }
 
-// Refused is a waiting item that was given up. It has not been run.
-type Refused struct {
+// Expired is a waiting item that was given up. It has not been run.
+type Expired struct {
 	Item    Item
 	Refusal *failure.Refusal
 }
@@ -141,7 +141,7 @@
 	refused          int
 }
 
-// Offer puts i in the queue or refuses it.
+// Enqueue puts i in the queue or refuses it.
 //
 // The bounds are made for an account that floods and for a group that falls
 // behind. They keep the memory and the wait of a queue small; a refused item
@@ -150,20 +150,20 @@
 // lock out the one that keeps within its share. An exchange of an
 // open transaction is always taken: it holds a connection that others wait for,
 // and a caller has only one of them at a time.
-func (q *Queue) Offer(now time.Time, i Item) Verdict {
+func (q *Queue) Enqueue(now time.Time, i Item) EnqueueResult {
 	w := waiting{Item: i, since: now, expect: q.history.expect(i)}
 	w.need = need(now, w)
 	if i.Pinned {
 		q.pinned = append(q.pinned, w)
 		q.waiting++
 		q.backlog[lane(i.Intent)] += w.expect
-		return Verdict{}
+		return EnqueueResult{}
 	}
 	a := q.account(i)
 	if r := q.refuse(now, a, w); r != nil {
 		q.refused++
 		q.forget(a)
-		return Verdict{Refusal: r}
+		return EnqueueResult{Refusal: r}
 	}
 	if a.len() == 0 {
 		a.tag = max(a.tag, q.virtual)
@@ -176,7 +176,7 @@
 	a.backlog[l] += w.expect
 	q.backlog[l] += w.expect
 	q.waiting++
-	return Verdict{}
+	return EnqueueResult{}
 }
 
 // refuse returns why w can't wait, or nil.
--- a/core/admit/service_test.go
+++ b/core/admit/service_test.go
@@ -59,7 +59,7 @@
 	random    *rand.Rand
 	instances []instance
 	timeout   time.Duration
-	events    agenda.Agenda
+	events    agenda.Queue
 	seq       uint64
 	waiting   map[uint64]request
 	got       map[fleet.Account]*got
@@ -127,7 +127,7 @@
 	g := s.got[l.account]
 	g.sent++
 	s.waiting[key] = request{l, s.now}
-	v := s.q.Offer(s.clock(), admit.Item{
+	v := s.q.Enqueue(s.clock(), admit.Item{
 		Key: key, Account: l.account, Weight: l.weight, Intent: l.intent,
 		Deadline: s.clock().Add(s.timeout),
 	})
--- a/core/group/group.go
+++ b/core/group/group.go
@@ -108,7 +108,7 @@
 }
 
 func (g *Group) prove(now time.Time) {
-	if p, ok := g.Table(now).Prove(); ok {
+	if p, ok := g.Snapshot(now).Prove(); ok {
 		g.history = g.history.Add(p)
 	}
 }
@@ -150,8 +150,8 @@
 	return true
 }
 
-// Table returns a copy of what is known now.
-func (g *Group) Table(now time.Time) Snapshot {
+// Snapshot returns a copy of what is known now.
+func (g *Group) Snapshot(now time.Time) Snapshot {
 	t := Snapshot{At: now, Observations: slices.Clone(g.seen), History: g.history, Rules: g.Rules}
 	if i, ok := leader(g.seen); ok {
 		t.Primary = g.seen[i].Instance.Name
--- a/core/group/group_test.go
+++ b/core/group/group_test.go
@@ -45,7 +45,7 @@
 	g := three()
 	g.StatusReceived("a", later(20), later(21), status("a", 2, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
 	g.StatusReceived("a", later(10), later(30), status("a", 1, fleet.RolePrimary, fleet.LogPosition{Term: 1, Index: 5}))
-	c.Assert(g.Table(later(30)).Primary, qt.Equals, fleet.Instance(""))
+	c.Assert(g.Snapshot(later(30)).Primary, qt.Equals, fleet.Instance(""))
 }
 
 // An address that is wired to another instance would have that one's position
@@ -57,7 +57,7 @@
 	g.StatusReceived("a", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
 	g.StatusReceived("b", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
 	g.CommandAnswered("b", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
-	got := g.Table(later(2)).Acknowledge(document.AcknowledgeReplicated, w, start)
+	got := g.Snapshot(later(2)).Acknowledge(document.AcknowledgeReplicated, w, start)
 	c.Assert(got, qt.Equals, group.VerdictWait)
 }
 
@@ -69,7 +69,7 @@
 	for _, n := range []fleet.Instance{"b", "c"} {
 		g.StatusReceived(n, later(1), later(2), status(n, 2, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
 	}
-	t2 := g.Table(later(2))
+	t2 := g.Snapshot(later(2))
 	c.Assert(t2.Primary, qt.Equals, fleet.Instance(""))
 	w := fleet.LogPosition{Term: 1, Index: 5}
 	c.Assert(t2.Acknowledge(document.AcknowledgePrimary, w, start), qt.Equals, group.VerdictReplaced)
@@ -78,14 +78,14 @@
 func TestRepairPointsWhoDoesNotFollow(t *testing.T) {
 	c := qt.New(t)
 	g := three()
-	c.Assert(group.Repair(g.Table(start)), qt.HasLen, 0)
+	c.Assert(group.Repair(g.Snapshot(start)), qt.HasLen, 0)
 	// b has been left out of the last promotion, c has promised to a proposer
 	// whose promotion isn't over and would refuse.
 	for _, n := range []fleet.Instance{"a"} {
 		g.StatusReceived(n, later(1), later(2), status(n, 2, fleet.RolePrimary, fleet.LogPosition{Term: 2, Index: 6}))
 	}
 	g.StatusReceived("c", later(1), later(2), status("c", 3, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
-	c.Assert(group.Repair(g.Table(later(2))), qt.DeepEquals, []group.Command{{
+	c.Assert(group.Repair(g.Snapshot(later(2))), qt.DeepEquals, []group.Command{{
 		Act: group.ActFollow, Instance: "b", Term: 2, Primary: "a", Address: "127.0.0.1:1",
 	}})
 }
@@ -95,7 +95,7 @@
 func TestLostPromotionIsNotTriedOnAnother(t *testing.T) {
 	c := qt.New(t)
 	g := three()
-	p, orders := group.Promote(start, g.Table(start), "h0/1/1", nil)
+	p, orders := group.Promote(start, g.Snapshot(start), "h0/1/1", nil)
 	var promote []group.Command
 	for _, o := range orders {
 		st := status(o.Instance, p.Term, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5})
--- a/core/group/naive_test.go
+++ b/core/group/naive_test.go
@@ -18,7 +18,7 @@
 // roamer is one session that writes and reads through any host, one request at
 // a time, with its token.
 type roamer struct {
-	naive   naive.Ledger
+	naive   naive.Database
 	token   session.Token
 	writing string
 	reading *read
@@ -42,7 +42,7 @@
 	}
 	r.writing, r.reading, r.since = "", nil, w.now
 	if pick(2) == 0 {
-		if p := h.group.Table(w.now).Primary; p != "" {
+		if p := h.group.Snapshot(w.now).Primary; p != "" {
 			w.written++
 			r.writing = fmt.Sprint(w.written)
 			w.send(h, p, message{kind: messageWrite, value: r.writing})
@@ -63,7 +63,7 @@
 		r.writing = ""
 	}
 	d := r.reading
-	if d == nil || !d.got || !d.need.Satisfied(d.answer, w.now, w.hosts[0].group.Table(w.now)) {
+	if d == nil || !d.got || !d.need.Satisfied(d.answer, w.now, w.hosts[0].group.Snapshot(w.now)) {
 		return nil
 	}
 	r.reads++
--- a/core/group/suspect_test.go
+++ b/core/group/suspect_test.go
@@ -147,7 +147,7 @@
 	c.Assert(w.judge().Cause, qt.Equals, group.CauseNone)
 	w.watch(500 * time.Millisecond)
 	c.Assert(w.judge().Cause, qt.Equals, group.CauseStranded)
-	c.Assert(w.group.Table(w.now).Primary, qt.Equals, fleet.Instance(""))
+	c.Assert(w.group.Snapshot(w.now).Primary, qt.Equals, fleet.Instance(""))
 }
 
 // A host fences one replica and dies. The primary still has its majority, but
@@ -159,7 +159,7 @@
 	c.Assert(w.instances[2].Fence(2, "h9/1/1"), qt.IsNil)
 	w.watch(700 * time.Millisecond)
 	c.Assert(w.judge().Cause, qt.Equals, group.CauseStranded)
-	c.Assert(w.group.Table(w.now).Primary, qt.Equals, fleet.Instance("a"))
+	c.Assert(w.group.Snapshot(w.now).Primary, qt.Equals, fleet.Instance("a"))
 }
 
 // A team takes the primary's machine out of service. Callers in the middle of a
@@ -192,7 +192,7 @@
 	w.dead["b"], w.dead["c"] = true, true
 	w.watch(5 * time.Second)
 	c.Assert(w.judge().Cause, qt.Equals, group.CauseNone)
-	c.Assert(w.group.Table(w.now).CanHandOver(w.now), qt.IsFalse)
+	c.Assert(w.group.Snapshot(w.now).CanHandOver(w.now), qt.IsFalse)
 }
 
 // A cut parts the primary from its replicas but from no host. Every write ends
@@ -210,7 +210,7 @@
 	c.Assert(j.Cause, qt.Equals, group.CauseStalled)
 	c.Assert(w.promote(c, j).Target, qt.Not(qt.Equals), fleet.Instance("a"))
 	keep := group.Policy{KeepStalled: true}
-	k := group.AssessPrimary(w.now, keep, w.group.Table(w.now), group.Observer{Host: "h0"}, nil, nil)
+	k := group.AssessPrimary(w.now, keep, w.group.Snapshot(w.now), group.Observer{Host: "h0"}, nil, nil)
 	c.Assert(k.Cause, qt.Equals, group.CauseNone)
 }
 
@@ -300,7 +300,7 @@
 	w.watch(time.Second)
 	rank := func(me fleet.Host, views ...group.View) int {
 		self := group.Observer{Host: me, DataCentre: "dc-a"}
-		return group.AssessPrimary(w.now, group.Policy{}, w.group.Table(w.now), self, views, []fleet.Host{"h0", "h1", "h2"}).Rank
+		return group.AssessPrimary(w.now, group.Policy{}, w.group.Snapshot(w.now), self, views, []fleet.Host{"h0", "h1", "h2"}).Rank
 	}
 	w.leave("a")
 	w.copy()
--- a/core/group/watcher_test.go
+++ b/core/group/watcher_test.go
@@ -81,13 +81,13 @@
 
 func (w *watcher) judge(views ...group.View) group.Assessment {
 	me := group.Observer{Host: "h0", DataCentre: "dc-a"}
-	return group.AssessPrimary(w.now, group.Policy{}, w.group.Table(w.now), me, views, []fleet.Host{"h0", "h1", "h2"})
+	return group.AssessPrimary(w.now, group.Policy{}, w.group.Snapshot(w.now), me, views, []fleet.Host{"h0", "h1", "h2"})
 }
 
 // near puts all instances into one data centre.
 func (w *watcher) near() {
 	var d []document.Instance
-	for _, s := range w.group.Table(w.now).Observations {
+	for _, s := range w.group.Snapshot(w.now).Observations {
 		s.Instance.DataCentre = "dc-a"
 		d = append(d, s.Instance)
 	}
@@ -97,7 +97,7 @@
 // leave marks an instance as leaving.
 func (w *watcher) leave(n fleet.Instance) {
 	var d []document.Instance
-	for _, s := range w.group.Table(w.now).Observations {
+	for _, s := range w.group.Snapshot(w.now).Observations {
 		s.Instance.Leaving = s.Instance.Leaving || s.Instance.Name == n
 		d = append(d, s.Instance)
 	}
@@ -113,7 +113,7 @@
 
 // promote runs the promotion that j calls for to its end.
 func (w *watcher) promote(c *qt.C, j group.Assessment) *group.Promotion {
-	p, orders := group.Promote(w.now, w.group.Table(w.now), "h0/1/1", j.Excluded)
+	p, orders := group.Promote(w.now, w.group.Snapshot(w.now), "h0/1/1", j.Excluded)
 	for len(orders) > 0 {
 		o := orders[0]
 		var err error
--- a/core/group/world_check_test.go
+++ b/core/group/world_check_test.go
@@ -12,7 +12,7 @@
 // settle answers the callers whose proofs are there.
 func (w *world) settle() error {
 	for _, h := range w.hosts {
-		t := h.group.Table(w.now)
+		t := h.group.Snapshot(w.now)
 		var left []write
 		for _, x := range h.writes {
 			switch t.Acknowledge(w.rule, x.point, x.since) {
--- a/core/group/world_test.go
+++ b/core/group/world_test.go
@@ -232,7 +232,7 @@
 }
 
 func (w *world) write(h *host) {
-	if p := h.group.Table(w.now).Primary; p != "" {
+	if p := h.group.Snapshot(w.now).Primary; p != "" {
 		w.written++
 		w.send(h, p, message{kind: messageWrite, value: fmt.Sprint(w.written)})
 	}
@@ -265,13 +265,13 @@
 		return
 	}
 	h.attempts++
-	p, orders := group.Promote(w.now, h.group.Table(w.now), w.proposer(h), nil)
+	p, orders := group.Promote(w.now, h.group.Snapshot(w.now), w.proposer(h), nil)
 	h.promotion = p
 	w.dispatch(h, orders)
 }
 
 func (w *world) repair(h *host) {
-	w.dispatch(h, group.Repair(h.group.Table(w.now)))
+	w.dispatch(h, group.Repair(h.group.Snapshot(w.now)))
 }
 
 func (w *world) dispatch(h *host, orders []group.Command) {
--- a/core/place/budget.go
+++ b/core/place/budget.go
@@ -1,6 +1,6 @@
 package place
 
-// Budget limits how often declared reads are tried again. The zero Budget has
+// RetryBudget limits how often declared reads are tried again. The zero RetryBudget has
 // its full reserve.
 //
 // The load is a group that fails many reads, because it is overloaded or its
@@ -8,7 +8,7 @@
 // failures. A retry costs one token and a read earns budgetShare of one, so
 // retries add at most a tenth to the reads; the reserve covers the few reads
 // that were under way when an instance died.
-type Budget struct {
+type RetryBudget struct {
 	spent float64
 }
 
@@ -18,12 +18,12 @@
 )
 
 // Earn counts a read that is sent for the first time.
-func (b *Budget) Earn() {
+func (b *RetryBudget) Earn() {
 	b.spent = max(0, b.spent-budgetShare)
 }
 
 // Take reports whether a read may be tried again, and counts the retry.
-func (b *Budget) Take() bool {
+func (b *RetryBudget) Take() bool {
 	if b.spent+1 > budgetReserve {
 		return false
 	}
@@ -32,6 +32,6 @@
 }
 
 // Left returns how many retries are left.
-func (b *Budget) Left() float64 {
+func (b *RetryBudget) Left() float64 {
 	return budgetReserve - b.spent
 }
--- a/core/place/choose.go
+++ b/core/place/choose.go
@@ -9,8 +9,8 @@
 	"skylarkdeal/core/session"
 )
 
-// Facts is what the choice of an instance depends on, of one request.
-type Facts struct {
+// RequestInfo is what the choice of an instance depends on, of one request.
+type RequestInfo struct {
 	Intent exchange.Intent
 	Need   session.Need
 	// Long is set for work that will hold its slot for long.
@@ -27,7 +27,7 @@
 	Busy  int
 	Slots int
 	// Latency is measured over the callers' statements.
-	Latency Meter
+	Latency LatencyAverage
 }
 
 // Free returns how many more statements may start.
@@ -74,7 +74,7 @@
 // to be faster by patience to get it, so that reads don't take the primary's
 // slots for a short lag. An instance that leaves gets nothing. Long work is kept
 // off the last free slot, or one long report would hold up every short request.
-func Choose(now time.Time, f Facts, t group.Snapshot, l Loads) Choice {
+func Choose(now time.Time, f RequestInfo, t group.Snapshot, l Loads) Choice {
 	if f.Intent != exchange.IntentRead {
 		return write(now, f, t, l)
 	}
@@ -102,7 +102,7 @@
 // waits for the next primary is merely late.
 const suspicious = 150 * time.Millisecond
 
-func write(now time.Time, f Facts, t group.Snapshot, l Loads) Choice {
+func write(now time.Time, f RequestInfo, t group.Snapshot, l Loads) Choice {
 	s, ok := t.Find(t.Primary)
 	switch u := l.Instances[t.Primary]; {
 	case !ok:
@@ -150,7 +150,7 @@
 // milliseconds, which people don't notice, and leaves the primary to the writes.
 const patience = 25 * time.Millisecond
 
-func best(now time.Time, f Facts, t group.Snapshot, l Loads) (option, bool) {
+func best(now time.Time, f RequestInfo, t group.Snapshot, l Loads) (option, bool) {
 	var out option
 	for _, s := range t.Observations {
 		o, ok := consider(now, f, t, l, s)
@@ -161,7 +161,7 @@
 	return out, out.instance != ""
 }
 
-func consider(now time.Time, f Facts, t group.Snapshot, l Loads, s group.Observation) (option, bool) {
+func consider(now time.Time, f RequestInfo, t group.Snapshot, l Loads, s group.Observation) (option, bool) {
 	n := s.Instance.Name
 	if !s.Known() || s.Instance.Leaving || f.Tried.Has(n) || s.Silent(now) > suspicious {
 		return option{}, false
@@ -189,7 +189,7 @@
 // it does by what is known already, or the statuses to come will prove it, for
 // which a majority has to answer. A primary that has been replaced on the other
 // side of a cut never covers a token of a later term.
-func primaryServes(now time.Time, f Facts, t group.Snapshot, s group.Observation) bool {
+func primaryServes(now time.Time, f RequestInfo, t group.Snapshot, s group.Observation) bool {
 	a := session.Answer{Position: s.Status.Last, Role: fleet.RolePrimary}
 	if f.Need.Satisfied(a, now, t) {
 		return true
@@ -209,7 +209,7 @@
 
 // catchUp sets how long a replica takes to satisfy the read: its usual lag, as
 // the entry may have been written just now.
-func (o *option) catchUp(now time.Time, f Facts, t group.Snapshot, s group.Observation) bool {
+func (o *option) catchUp(now time.Time, f RequestInfo, t group.Snapshot, s group.Observation) bool {
 	a := session.Answer{Position: s.Status.Last, Role: fleet.RoleReplica}
 	if f.Need.Satisfied(a, now.Add(min(ageMargin, f.Need.MaxAge/2)), t) {
 		return true
--- a/core/place/choose_test.go
+++ b/core/place/choose_test.go
@@ -135,7 +135,7 @@
 // times, and the overload that made them fail would last.
 func TestBudgetBoundsRetries(t *testing.T) {
 	c := qt.New(t)
-	var b place.Budget
+	var b place.RetryBudget
 	var retries int
 	for range 1000 {
 		b.Earn()
--- a/core/place/cutoff_test.go
+++ b/core/place/cutoff_test.go
@@ -37,14 +37,14 @@
 // their own bookings where a reachable instance has them, and portal users what
 // is young enough; nothing is booked that can't be confirmed.
 func TestCutOffDataCentre(t *testing.T) {
-	read := func(n session.Need) place.Facts {
-		return place.Facts{Intent: exchange.IntentRead, Need: n}
+	read := func(n session.Need) place.RequestInfo {
+		return place.RequestInfo{Intent: exchange.IntentRead, Need: n}
 	}
 	own := read(session.Need{After: fleet.Some(fleet.LogPosition{Term: 1, Index: 1})})
 	ahead := read(session.Need{After: fleet.Some(fleet.LogPosition{Term: 2, Index: 9})})
 	young := read(session.Need{MaxAge: time.Second})
 	old := read(session.Need{MaxAge: 5 * time.Second})
-	write := place.Facts{Intent: exchange.IntentWrite}
+	write := place.RequestInfo{Intent: exchange.IntentWrite}
 	tests := []struct {
 		name    string
 		reached []fleet.Instance
@@ -73,7 +73,7 @@
 	}
 }
 
-func runs(s *sim, f place.Facts) fleet.Instance {
+func runs(s *sim, f place.RequestInfo) fleet.Instance {
 	c := s.choose(f)
 	if c.Action != place.ActionRun {
 		return ""
--- a/core/place/guard_test.go
+++ b/core/place/guard_test.go
@@ -20,11 +20,11 @@
 	return s
 }
 
-func (s *sim) choose(f place.Facts) place.Choice {
-	return place.Choose(s.now, f, s.group.Table(s.now), s.loads())
+func (s *sim) choose(f place.RequestInfo) place.Choice {
+	return place.Choose(s.now, f, s.group.Snapshot(s.now), s.loads())
 }
 
-var aged = place.Facts{Intent: exchange.IntentRead, Need: session.Need{MaxAge: time.Minute}}
+var aged = place.RequestInfo{Intent: exchange.IntentRead, Need: session.Need{MaxAge: time.Minute}}
 
 func TestChooseLeavesOutWhoFailedTheRead(t *testing.T) {
 	c := qt.New(t)
@@ -44,7 +44,7 @@
 	}
 	s.now = s.now.Add(200 * time.Millisecond)
 	c.Assert(s.choose(aged).Action, qt.Equals, place.ActionWait)
-	c.Assert(s.choose(place.Facts{Intent: exchange.IntentWrite}).Action, qt.Equals, place.ActionWait)
+	c.Assert(s.choose(place.RequestInfo{Intent: exchange.IntentWrite}).Action, qt.Equals, place.ActionWait)
 	s.group.StatusReceived("b", s.now, s.now, fleet.Status{
 		Instance: "b", Promised: 1, Role: fleet.RoleReplica, Last: s.last("b"), Follows: "a",
 	})
@@ -59,17 +59,17 @@
 	s.group.StatusRequested("b", s.now)
 	s.group.StatusRequested("c", s.now)
 	s.now = s.now.Add(400 * time.Millisecond)
-	c.Assert(s.choose(place.Facts{Intent: exchange.IntentWrite}).Action, qt.Equals, place.ActionWait)
+	c.Assert(s.choose(place.RequestInfo{Intent: exchange.IntentWrite}).Action, qt.Equals, place.ActionWait)
 	s.group.StatusReceived("b", s.now, s.now, fleet.Status{
 		Instance: "b", Promised: 1, Role: fleet.RoleReplica, Last: s.last("b"), Follows: "a",
 	})
-	c.Assert(s.choose(place.Facts{Intent: exchange.IntentWrite}).Action, qt.Equals, place.ActionRun)
+	c.Assert(s.choose(place.RequestInfo{Intent: exchange.IntentWrite}).Action, qt.Equals, place.ActionRun)
 }
 
 func TestWritesWaitForTheSuccessorOfALeavingPrimary(t *testing.T) {
 	c := qt.New(t)
 	s := settled()
-	write := place.Facts{Intent: exchange.IntentWrite}
+	write := place.RequestInfo{Intent: exchange.IntentWrite}
 	c.Assert(s.choose(write).Action, qt.Equals, place.ActionRun)
 	s.leave["a"] = true
 	s.configure()
@@ -86,7 +86,7 @@
 	c := qt.New(t)
 	s := settled()
 	s.slots = 1
-	long := place.Facts{Intent: exchange.IntentWrite, Long: true}
+	long := place.RequestInfo{Intent: exchange.IntentWrite, Long: true}
 	// The queue holds the request that is chosen for, and then another.
 	s.queue = append(s.queue, &request{})
 	c.Assert(s.choose(long).Action, qt.Equals, place.ActionRun)
@@ -104,14 +104,14 @@
 	s.now = s.now.Add(time.Millisecond)
 	s.ask()
 	s.busy["a"] = 2
-	f := place.Facts{Intent: exchange.IntentRead, Need: session.Need{MaxAge: time.Millisecond}}
+	f := place.RequestInfo{Intent: exchange.IntentRead, Need: session.Need{MaxAge: time.Millisecond}}
 	c.Assert(s.choose(f).Instance, qt.Equals, fleet.Instance("a"))
 }
 
 func TestMeterFadesWhileNothingIsMeasured(t *testing.T) {
 	c := qt.New(t)
 	now := settled().now
-	m := place.Meter{}.Observe(now, 80*time.Millisecond)
+	m := place.LatencyAverage{}.Observe(now, 80*time.Millisecond)
 	c.Assert(m.Read(now), qt.Equals, 80*time.Millisecond)
 	c.Assert(m.Read(now.Add(5*time.Second)), qt.Equals, 40*time.Millisecond)
 	c.Assert(m.Observe(now, 180*time.Millisecond).Read(now), qt.Equals, 100*time.Millisecond)
@@ -120,6 +120,6 @@
 func TestShareKeepsAConnectionForControl(t *testing.T) {
 	c := qt.New(t)
 	s, _ := place.Shares(orders(2).Instances[0], []fleet.Host{"h0", "h1"}, "h1")
-	c.Assert(s, qt.Equals, place.Share{Connections: 8, Slots: 1})
-	c.Assert(s.Work(), qt.Equals, 7)
+	c.Assert(s, qt.Equals, place.ConnectionShare{Connections: 8, Slots: 1})
+	c.Assert(s.StatementConnections(), qt.Equals, 7)
 }
--- a/core/place/holders.go
+++ b/core/place/holders.go
@@ -102,8 +102,8 @@
 	return out
 }
 
-// Share is what one holder may use of an instance.
-type Share struct {
+// ConnectionShare is what one holder may use of an instance.
+type ConnectionShare struct {
 	// Connections is how many connections it may open, the one for control
 	// among them.
 	Connections int
@@ -111,8 +111,8 @@
 	Slots int
 }
 
-// Work returns how many connections are left for callers' statements.
-func (s Share) Work() int {
+// StatementConnections returns how many connections are left for callers' statements.
+func (s ConnectionShare) StatementConnections() int {
 	return max(0, s.Connections-1)
 }
 
@@ -125,13 +125,13 @@
 // the preferred ones. Slots are a target for the queue and no fence of the
 // instance: each holder has at least one, since with none its callers would get
 // nothing, and the surplus waits at the instance, bounded by a slot a holder.
-func Shares(i document.Instance, holders []fleet.Host, h fleet.Host) (Share, bool) {
+func Shares(i document.Instance, holders []fleet.Host, h fleet.Host) (ConnectionShare, bool) {
 	rank := slices.Index(holders, h)
 	if rank < 0 {
-		return Share{}, false
+		return ConnectionShare{}, false
 	}
 	n := len(holders)
-	return Share{
+	return ConnectionShare{
 		Connections: split(i.Connections, n, rank),
 		Slots:       max(1, split(i.Slots, n, rank)),
 	}, true
--- a/core/place/holders_test.go
+++ b/core/place/holders_test.go
@@ -129,7 +129,7 @@
 		total := 0
 		for _, h := range holders {
 			s, ok := place.Shares(i, holders, h)
-			if !ok || s.Slots < 1 || s.Work() > s.Connections {
+			if !ok || s.Slots < 1 || s.StatementConnections() > s.Connections {
 				t.Fatalf("%s: %+v", h, s)
 			}
 			total += s.Connections
--- a/core/place/meter.go
+++ b/core/place/meter.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Meter is a moving average of an instance's answer times that fades while
-// nothing is measured. The zero Meter has measured nothing.
-type Meter struct {
+// LatencyAverage is a moving average of an instance's answer times that fades while
+// nothing is measured. The zero LatencyAverage has measured nothing.
+type LatencyAverage struct {
 	value time.Duration
 	at    time.Time
 }
@@ -21,16 +21,16 @@
 const meterWeight = 0.2
 
 // Observe returns m with the time that an answer took.
-func (m Meter) Observe(now time.Time, took time.Duration) Meter {
+func (m LatencyAverage) Observe(now time.Time, took time.Duration) LatencyAverage {
 	if m.at.IsZero() {
-		return Meter{value: took, at: now}
+		return LatencyAverage{value: took, at: now}
 	}
 	v := m.Read(now)
-	return Meter{value: v + time.Duration(meterWeight*float64(took-v)), at: now}
+	return LatencyAverage{value: v + time.Duration(meterWeight*float64(took-v)), at: now}
 }
 
 // Read returns the faded average.
-func (m Meter) Read(now time.Time) time.Duration {
+func (m LatencyAverage) Read(now time.Time) time.Duration {
 	if m.at.IsZero() {
 		return 0
 	}
--- a/core/place/sim_test.go
+++ b/core/place/sim_test.go
@@ -42,14 +42,14 @@
 	group   group.Group
 	log     []time.Time
 	busy    map[fleet.Instance]int
-	meters  map[fleet.Instance]place.Meter
+	meters  map[fleet.Instance]place.LatencyAverage
 	queue   []*request
 	running []*request
 	ended   []*request
 }
 
 type request struct {
-	facts   place.Facts
+	facts   place.RequestInfo
 	arrived time.Time
 	started time.Time
 	ends    time.Time
@@ -66,7 +66,7 @@
 		rand:   rand.New(rand.NewPCG(1, 2)),
 		now:    time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC),
 		busy:   make(map[fleet.Instance]int),
-		meters: make(map[fleet.Instance]place.Meter),
+		meters: make(map[fleet.Instance]place.LatencyAverage),
 	}
 	for _, n := range names {
 		s.work[n] = 2 * time.Millisecond
@@ -139,7 +139,7 @@
 	default:
 		r.class = "blind"
 	}
-	r.facts = place.Facts{Intent: q.Intent, Need: session.Needs(q, s.now)}
+	r.facts = place.RequestInfo{Intent: q.Intent, Need: session.Needs(q, s.now)}
 	if q.Intent == exchange.IntentRead && s.rand.Float64() < s.load.long {
 		r.facts.Long, r.class = true, "long"
 	}
@@ -173,7 +173,7 @@
 }
 
 func (s *sim) start() {
-	t := s.group.Table(s.now)
+	t := s.group.Snapshot(s.now)
 	proof, _ := t.Prove()
 	var left []*request
 	for _, r := range s.queue {
--- a/core/relay/model_group_test.go
+++ b/core/relay/model_group_test.go
@@ -41,7 +41,7 @@
 	r      *rand.Rand
 	now    time.Time
 	began  time.Time
-	agenda agenda.Agenda
+	agenda agenda.Queue
 	relay  *relay.Relay
 	// servers by name, primary the one that the platform has promoted last.
 	servers map[fleet.Instance]*server
--- a/core/relay/operation.go
+++ b/core/relay/operation.go
@@ -134,7 +134,7 @@
 		return
 	}
 	o.sent, o.conn, o.dial = false, nil, nil
-	v := o.g.queue.Offer(now, admit.Item{
+	v := o.g.queue.Enqueue(now, admit.Item{
 		Key: o.key, Account: o.s.account, Weight: o.weight(), Deadline: o.patience(),
 		Intent: o.intent(),
 	})
--- a/core/relay/outcome.go
+++ b/core/relay/outcome.go
@@ -232,7 +232,7 @@
 	}
 	o.over = true
 	if _, ok := o.g.waiting[o.key]; ok {
-		o.g.queue.Withdraw(o.key)
+		o.g.queue.Remove(o.key)
 		delete(o.g.waiting, o.key)
 		return
 	}
--- a/core/relay/tick.go
+++ b/core/relay/tick.go
@@ -66,7 +66,7 @@
 		return
 	}
 	for _, o := range g.waitingInOrder() {
-		if why, after := g.hopeless(now, o); why != "" && g.queue.Withdraw(o.key) {
+		if why, after := g.hopeless(now, o); why != "" && g.queue.Remove(o.key) {
 			delete(g.waiting, o.key)
 			o.refuse(statement.CodeBusy, why, after)
 		}
--- a/core/session/session_test.go
+++ b/core/session/session_test.go
@@ -37,7 +37,7 @@
 		g.StatusReceived("b", at(ms), now, fleet.Status{Instance: "b", Promised: 1, Role: fleet.RoleReplica, Last: last})
 		g.StatusReceived("a", at(ms), now, fleet.Status{Instance: "a", Promised: 1, Role: fleet.RolePrimary, Last: last})
 	}
-	return g.Table(now)
+	return g.Snapshot(now)
 }
 
 func ExampleMerge() {
--- a/internal/agenda/agenda.go
+++ b/internal/agenda/agenda.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Agenda is a list of things to do at times since its start. The zero Agenda is
+// Queue is a list of things to do at times since its start. The zero Queue is
 // empty. Things due at one time are done in the order in which they were added.
-type Agenda struct {
+type Queue struct {
 	entries entries
 	seq     uint64
 }
 
 // Add has f done at a time.
-func (a *Agenda) Add(at time.Duration, f func()) {
+func (a *Queue) Add(at time.Duration, f func()) {
 	a.seq++
 	heap.Push(&a.entries, entry{at: at, seq: a.seq, do: f})
 }
 
 // Next takes out the first thing that is due by a time, and when it is due.
-func (a *Agenda) Next(by time.Duration) (at time.Duration, do func(), ok bool) {
+func (a *Queue) Next(by time.Duration) (at time.Duration, do func(), ok bool) {
 	if len(a.entries) == 0 || a.entries[0].at > by {
 		return 0, nil, false
 	}
@@ -29,7 +29,7 @@
 }
 
 // Clear forgets all that is still to be done.
-func (a *Agenda) Clear() {
+func (a *Queue) Clear() {
 	a.entries = nil
 }
 
--- a/internal/agenda/agenda_test.go
+++ b/internal/agenda/agenda_test.go
@@ -7,8 +7,8 @@
 	"skylarkdeal/internal/agenda"
 )
 
-func ExampleAgenda() {
-	var a agenda.Agenda
+func ExampleQueue() {
+	var a agenda.Queue
 	say := func(s string) func() { return func() { fmt.Print(s, " ") } }
 	a.Add(2*time.Second, say("c"))
 	a.Add(time.Second, say("a"))
--- a/internal/experiment/rates/world.go
+++ b/internal/experiment/rates/world.go
@@ -19,7 +19,7 @@
 // their own, a store, and a network between them that can be cut.
 type World struct {
 	now    time.Duration
-	agenda agenda.Agenda
+	agenda agenda.Queue
 	random *rand.Rand
 	// Hosts stand in the order of their data centres.
 	Hosts []*Host
--- a/io/holder/configure.go
+++ b/io/holder/configure.go
@@ -70,13 +70,13 @@
 	for _, i := range d.Instances {
 		s, ok := place.Shares(i, hosts, g.h.c.Host)
 		if !ok {
-			s = place.Share{}
+			s = place.ConnectionShare{}
 		}
 		// An instance that leaves gets nothing new by the choice of instances, but for
 		// a primary that nobody can take over from.
 		g.slots[i.Name] = s.Slots
 		total += s.Slots
-		g.pool(d, i).SetLimit(s.Work())
+		g.pool(d, i).SetLimit(s.StatementConnections())
 		most = max(most, s.Slots)
 	}
 	// Any instance may come to be the primary.
@@ -100,7 +100,7 @@
 // left the group is closed, whose administrative connections count too.
 func (g *groupRun) yield() {
 	for _, w := range g.works {
-		if w.pin == nil && g.queue.Withdraw(w.key) {
+		if w.pin == nil && g.queue.Remove(w.key) {
 			g.drop(w, g.refusal(failure.CodeNotReady, "this host no longer holds connections to the group", 0))
 		}
 	}
--- a/io/holder/dispatch.go
+++ b/io/holder/dispatch.go
@@ -22,7 +22,7 @@
 			g.drop(w, r.Refusal)
 		}
 	}
-	t := g.steward.Table()
+	t := g.steward.Snapshot()
 	g.refuseAbsent(t)
 	for {
 		l := g.loads()
@@ -46,7 +46,7 @@
 		return
 	}
 	g.looked = g.now
-	t := g.steward.Table()
+	t := g.steward.Snapshot()
 	for _, w := range g.works {
 		if w.stop == nil || w.stopped || !g.lost(w, t) {
 			continue
@@ -98,7 +98,7 @@
 		if w.read() && !w.need.Latest() && w.pin == nil {
 			continue
 		}
-		if g.queue.Withdraw(w.key) {
+		if g.queue.Remove(w.key) {
 			g.drop(w, g.refusal(failure.CodeNotReady, "no primary can be reached", absentRetry))
 		}
 	}
@@ -155,7 +155,7 @@
 		return
 	}
 	w.attempts++
-	w.term = g.steward.Table().Term
+	w.term = g.steward.Snapshot().Term
 	if w.pin != nil {
 		w.term = w.pin.term
 	}
--- a/io/holder/exchanges.go
+++ b/io/holder/exchanges.go
@@ -55,7 +55,7 @@
 		return
 	}
 	w.queued = g.now
-	v := g.queue.Offer(g.now, w.item(g.weight(w.q.Account)))
+	v := g.queue.Enqueue(g.now, w.item(g.weight(w.q.Account)))
 	if v.Refusal != nil {
 		g.drop(w, v.Refusal)
 	}
@@ -110,7 +110,7 @@
 	if w == nil {
 		return
 	}
-	if g.queue.Withdraw(w.key) {
+	if g.queue.Remove(w.key) {
 		g.drop(w, g.refusal(failure.CodeCancelled, "cancelled before it was run", 0))
 		return
 	}
--- a/io/holder/group.go
+++ b/io/holder/group.go
@@ -69,8 +69,8 @@
 	// ranked is what the pools were configured by.
 	ranked *ranking
 	busy   map[fleet.Instance]int
-	meters map[fleet.Instance]place.Meter
-	budget place.Budget
+	meters map[fleet.Instance]place.LatencyAverage
+	budget place.RetryBudget
 	holds  bool
 	slots  map[fleet.Instance]int
 	key    uint64
@@ -98,7 +98,7 @@
 		pools:     map[fleet.Instance]*database.Pool{},
 		addresses: map[fleet.Instance]string{},
 		busy:      map[fleet.Instance]int{},
-		meters:    map[fleet.Instance]place.Meter{},
+		meters:    map[fleet.Instance]place.LatencyAverage{},
 		slots:     map[fleet.Instance]int{},
 	}
 	g.document.Store(d)
@@ -166,7 +166,7 @@
 	g.closing = true
 	g.h.forget(g)
 	for _, w := range g.works {
-		if g.queue.Withdraw(w.key) {
+		if g.queue.Remove(w.key) {
 			g.drop(w, g.refusal(failure.CodeShuttingDown, "the host shuts down", 0))
 			continue
 		}
--- a/io/holder/serve.go
+++ b/io/holder/serve.go
@@ -198,7 +198,7 @@
 	}
 	if a.Role == fleet.RoleReplica || w.read() {
 		at := session.Answer{Position: a.Point, Role: a.Role}
-		if w.need.Satisfied(at, g.h.c.Now(), g.steward.Table()) {
+		if w.need.Satisfied(at, g.h.c.Now(), g.steward.Snapshot()) {
 			return nil
 		}
 	}
--- a/io/holder/work.go
+++ b/io/holder/work.go
@@ -64,8 +64,8 @@
 	}
 }
 
-func (w *work) facts(long bool) place.Facts {
-	return place.Facts{
+func (w *work) facts(long bool) place.RequestInfo {
+	return place.RequestInfo{
 		Intent:   w.q.Intent,
 		Need:     w.need,
 		Long:     long,
--- a/io/steward/bench_test.go
+++ b/io/steward/bench_test.go
@@ -192,7 +192,7 @@
 		fleets = append(fleets, f)
 	}
 	for _, f := range fleets {
-		eventually(b, func() bool { return f.stewards["h0"].Table().Primary != "" })
+		eventually(b, func() bool { return f.stewards["h0"].Snapshot().Primary != "" })
 	}
 	time.Sleep(settleTime)
 	var asked int64
--- a/io/steward/change.go
+++ b/io/steward/change.go
@@ -238,5 +238,5 @@
 func (s *Steward) HandleView() *hostpb.ViewResponse {
 	now := s.cfg.Now()
 	s.alert.Store(now.Add(alertLife).UnixNano())
-	return toProto(s.cfg.DataCentre, s.cfg.Policy.Views(s.Table(), now))
+	return toProto(s.cfg.DataCentre, s.cfg.Policy.Views(s.Snapshot(), now))
 }
--- a/io/steward/cluster_test.go
+++ b/io/steward/cluster_test.go
@@ -306,7 +306,7 @@
 	h fleet.Host, rule document.Acknowledge, value string, limit time.Duration,
 ) (fleet.LogPosition, error) {
 	s := c.stewards[h]
-	t := s.Table()
+	t := s.Snapshot()
 	p, ok := t.Find(t.Primary)
 	if !ok || p.Silent(time.Now()) > 150*time.Millisecond {
 		return fleet.LogPosition{}, errNoPrimary
@@ -344,7 +344,7 @@
 	tb.Helper()
 	eventually(tb, func() bool {
 		for _, s := range c.stewards {
-			if s.Table().Primary == "" {
+			if s.Snapshot().Primary == "" {
 				return false
 			}
 		}
--- a/io/steward/ledger_test.go
+++ b/io/steward/ledger_test.go
@@ -165,7 +165,7 @@
 
 // connect returns the connection to the primary, or nil while there is none.
 func (w *writer) connect(ctx context.Context) *pgconn.PgConn {
-	t := w.fleet.stewards[w.host].Table()
+	t := w.fleet.stewards[w.host].Snapshot()
 	p, ok := t.Find(t.Primary)
 	if !ok || p.Silent(time.Now()) > 150*time.Millisecond {
 		return nil
--- a/io/steward/steward.go
+++ b/io/steward/steward.go
@@ -121,8 +121,8 @@
 	return s
 }
 
-// Table returns what is known of the group. It doesn't wait.
-func (s *Steward) Table() group.Snapshot {
+// Snapshot returns what is known of the group. It doesn't wait.
+func (s *Steward) Snapshot() group.Snapshot {
 	return *s.table.Load()
 }
 
@@ -226,7 +226,7 @@
 const tick = 25 * time.Millisecond
 
 func (s *Steward) publish(now time.Time) group.Snapshot {
-	t := s.group.Table(now)
+	t := s.group.Snapshot(now)
 	changed := differs(*s.table.Load(), t)
 	s.table.Store(&t)
 	s.state.Store(s.snapshot(t))
--- a/io/steward/steward_test.go
+++ b/io/steward/steward_test.go
@@ -68,7 +68,7 @@
 			qt.New(t).Check(c.explained(), qt.IsTrue, qt.Commentf("no host tells who was promoted and why"))
 			c.set(func() { c.faults["a"] = healthy })
 			eventually(t, func() bool {
-				a, _ := c.stewards["h2"].Table().Find("a")
+				a, _ := c.stewards["h2"].Snapshot().Find("a")
 				return a.Status.Role == fleet.RoleReplica && a.Status.Last.Term > 1
 			})
 		})
@@ -106,7 +106,7 @@
 		}
 	})
 	eventually(t, func() bool {
-		return c.stewards["h0"].Table().Term > 1
+		return c.stewards["h0"].Snapshot().Term > 1
 	})
 	c.keeps(t, acked)
 }
@@ -147,7 +147,7 @@
 	q := qt.New(t)
 	c := newCluster(t, time.Millisecond)
 	c.ready(t)
-	p := c.stewards["h0"].Table()
+	p := c.stewards["h0"].Snapshot()
 	at := fleet.LogPosition{Term: p.Term, Index: 1}
 	out := make(chan error, 100)
 	before := c.asked("h0")
@@ -228,7 +228,7 @@
 	h.Confirm(at, document.AcknowledgePrimary, time.Now().Add(3*time.Second), func(err error) { out <- err })
 	since := time.Now()
 	pause := func() {
-		proved := h.Table().Acknowledge(document.AcknowledgePrimary, at, since) == group.VerdictAcknowledge
+		proved := h.Snapshot().Acknowledge(document.AcknowledgePrimary, at, since) == group.VerdictAcknowledge
 		if proved && c.slept.CompareAndSwap(0, int64(time.Second)) {
 			c.set(func() { c.faults["b"], c.faults["c"] = hung, hung })
 		}
@@ -249,7 +249,7 @@
 	from := c.asked("h0")
 	// At the slowest pace this takes longer than any silence that is borne.
 	eventually(t, func() bool { return c.asked("h0")-from > 40 })
-	q.Assert(c.stewards["h0"].Table().Term, qt.Equals, fleet.Term(1))
+	q.Assert(c.stewards["h0"].Snapshot().Term, qt.Equals, fleet.Term(1))
 	c.set(func() { c.faults["a"] = healthy })
 	c.writeUntil(t, "h0", func(p fleet.LogPosition) bool { return p.Term == 1 })
 }
@@ -263,7 +263,7 @@
 	c.ready(t)
 	all := c.hosts
 	c.set(func() { c.hosts = all[:2] })
-	eventually(t, func() bool { return len(c.stewards["h2"].Table().Observations) == 0 })
+	eventually(t, func() bool { return len(c.stewards["h2"].Snapshot().Observations) == 0 })
 	c.set(func() { q.Check(c.closed["h2"], qt.Equals, 3) })
 	_, err := c.fresh("h2", 10*time.Second)
 	q.Assert(err, qt.IsNil)
@@ -282,12 +282,12 @@
 	c.set(func() { c.faults["b"] = hung })
 	c.moved.Store(&d)
 	eventually(t, func() bool {
-		b, _ := c.stewards["h0"].Table().Find("b")
+		b, _ := c.stewards["h0"].Snapshot().Find("b")
 		return b.Instance.Address == "127.0.0.1:99" && !b.Known()
 	})
 	c.set(func() { c.faults["b"] = healthy })
 	eventually(t, func() bool {
-		b, _ := c.stewards["h0"].Table().Find("b")
+		b, _ := c.stewards["h0"].Snapshot().Find("b")
 		return b.Known()
 	})
 }
