--- a/core/cold/cold.go
+++ b/core/cold/cold.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// Bound says how far the whole fleet may go beyond the rate that a cold instance is said to bear.
-// The zero Bound keeps to the rate.
-type Bound struct {
+// Limit says how far the whole fleet may go beyond the rate that a cold instance is said to bear.
+// The zero Limit keeps to the rate.
+type Limit struct {
 	// Overshoot is a factor of the rate; zero counts as 1.
 	Overshoot float64
 	// Slack is how many statements more may come in one second.
@@ -36,9 +36,9 @@
 // the same one, so that no more than two ever send.
 func MaySend(heard, known int) bool { return heard > 0 && senders*heard >= known }
 
-// Most returns how many statements one host may send to an instance within a second, for one that
+// MaxStatements returns how many statements one host may send to an instance within a second, for one that
 // bears rate of them.
-func (b Bound) Most(rate float64) int {
+func (b Limit) MaxStatements(rate float64) int {
 	factor := b.Overshoot
 	if factor == 0 {
 		factor = 1
@@ -46,21 +46,21 @@
 	return int((rate*factor + float64(b.Slack)) / senders)
 }
 
-// Budget is what one host has sent to one instance lately. The zero Budget is unspent.
-type Budget struct {
+// SendBudget is what one host has sent to one instance lately. The zero SendBudget is unspent.
+type SendBudget struct {
 	sent []time.Time
 }
 
 // Left returns how many of most are left now, and how many of these are for new operations: what is
 // left besides is kept for transactions under way.
-func (b *Budget) Left(now time.Time, most int) (all, begin int) {
+func (b *SendBudget) Left(now time.Time, most int) (all, begin int) {
 	b.sent = slices.DeleteFunc(b.sent, func(at time.Time) bool { return now.Sub(at) >= span })
 	all = max(0, most-len(b.sent))
 	return all, max(0, all-most/reservedPart)
 }
 
 // Spend takes in that statements are sent.
-func (b *Budget) Spend(now time.Time, n int) {
+func (b *SendBudget) Spend(now time.Time, n int) {
 	for range n {
 		b.sent = append(b.sent, now)
 	}
--- a/core/cold/cold_test.go
+++ b/core/cold/cold_test.go
@@ -11,9 +11,9 @@
 	"skylarkdeal/core/cold"
 )
 
-func ExampleBound_Most() {
-	b := cold.Bound{Overshoot: 1.5, Slack: 5}
-	fmt.Println(b.Most(20), cold.Bound{}.Most(20))
+func ExampleLimit_MaxStatements() {
+	b := cold.Limit{Overshoot: 1.5, Slack: 5}
+	fmt.Println(b.MaxStatements(20), cold.Limit{}.MaxStatements(20))
 	// Output: 17 10
 }
 
@@ -21,7 +21,7 @@
 // take themselves for the one that sends.
 func TestTwoHalvesOfADataCentreKeepToTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := cold.Bound{
+		b := cold.Limit{
 			Overshoot: rapid.Float64Range(1, 3).Draw(t, "overshoot"), Slack: rapid.IntRange(0, 20).Draw(t, "slack"),
 		}
 		rate := rapid.Float64Range(0, 200).Draw(t, "rate")
@@ -35,7 +35,7 @@
 				continue
 			}
 			senders++
-			sent = append(sent, send(t, b.Most(rate))...)
+			sent = append(sent, send(t, b.MaxStatements(rate))...)
 		}
 		if senders > 2 {
 			t.Fatalf("%d senders", senders)
@@ -56,7 +56,7 @@
 
 // send has one host send as much as it may for three seconds.
 func send(t *rapid.T, most int) []time.Duration {
-	var b cold.Budget
+	var b cold.SendBudget
 	var out []time.Duration
 	begin := time.Unix(1000, 0)
 	at := time.Duration(0)
@@ -77,7 +77,7 @@
 
 func TestTransactionsUnderWayHaveAReserve(t *testing.T) {
 	c := qt.New(t)
-	var b cold.Budget
+	var b cold.SendBudget
 	now := time.Unix(1000, 0)
 	b.Spend(now, 9)
 	all, begin := b.Left(now, 12)
--- a/core/fresh/fresh.go
+++ b/core/fresh/fresh.go
@@ -12,10 +12,10 @@
 // commit that was acknowledged before that.
 type Sample struct {
 	Position fleet.LogPosition
-	Asked    time.Time
-	// Reign is the term in which the primary led that gave it. The point may be of an earlier
+	AskedAt  time.Time
+	// PrimaryTerm is the term in which the primary led that gave it. The point may be of an earlier
 	// one, as a promotion writes no entry.
-	Reign fleet.Term
+	PrimaryTerm fleet.Term
 }
 
 // Samples are the last samples of one group. The zero Samples is empty.
@@ -33,10 +33,10 @@
 
 // Add takes in a sample. One that is hardly newer than the last takes its place.
 func (s *Samples) Add(n Sample) {
-	if len(s.ring) > 0 && !n.Asked.After(s.ring[len(s.ring)-1].Asked) {
+	if len(s.ring) > 0 && !n.AskedAt.After(s.ring[len(s.ring)-1].AskedAt) {
 		return
 	}
-	if len(s.ring) > 1 && n.Asked.Sub(s.ring[len(s.ring)-2].Asked) < spacing {
+	if len(s.ring) > 1 && n.AskedAt.Sub(s.ring[len(s.ring)-2].AskedAt) < spacing {
 		s.ring[len(s.ring)-1] = n
 		return
 	}
@@ -50,7 +50,7 @@
 // that a lagging replica is likeliest to cover.
 func (s *Samples) Oldest(since time.Time) (Sample, bool) {
 	for _, n := range s.ring {
-		if !n.Asked.Before(since) {
+		if !n.AskedAt.Before(since) {
 			return n, true
 		}
 	}
--- a/core/fresh/fresh_test.go
+++ b/core/fresh/fresh_test.go
@@ -15,8 +15,8 @@
 func ExampleSamples() {
 	var s fresh.Samples
 	now := time.Unix(1000, 0)
-	s.Add(fresh.Sample{Position: fleet.LogPosition{Term: 1, Index: 7}, Asked: now.Add(-2 * time.Second)})
-	s.Add(fresh.Sample{Position: fleet.LogPosition{Term: 1, Index: 9}, Asked: now.Add(-time.Second)})
+	s.Add(fresh.Sample{Position: fleet.LogPosition{Term: 1, Index: 7}, AskedAt: now.Add(-2 * time.Second)})
+	s.Add(fresh.Sample{Position: fleet.LogPosition{Term: 1, Index: 9}, AskedAt: now.Add(-time.Second)})
 	n, ok := s.Oldest(now.Add(-1500 * time.Millisecond))
 	fmt.Println(n.Position, ok)
 	// Output: 1.9 true
@@ -31,7 +31,7 @@
 		for _, ms := range rapid.SliceOfN(rapid.IntRange(0, 10_000), 0, 300).Draw(t, "asked") {
 			// The log at a moment is as long as the moment is late.
 			s.Add(fresh.Sample{
-				Position: fleet.LogPosition{Term: 1, Index: fleet.LogIndex(ms)}, Asked: base.Add(time.Duration(ms) * time.Millisecond),
+				Position: fleet.LogPosition{Term: 1, Index: fleet.LogIndex(ms)}, AskedAt: base.Add(time.Duration(ms) * time.Millisecond),
 			})
 		}
 		since := rapid.IntRange(0, 10_000).Draw(t, "since")
@@ -50,7 +50,7 @@
 	at := time.Unix(1000, 0)
 	for n := range 500 {
 		s.Add(fresh.Sample{
-			Position: fleet.LogPosition{Term: 1, Index: fleet.LogIndex(n)}, Asked: at.Add(time.Duration(n) * time.Second),
+			Position: fleet.LogPosition{Term: 1, Index: fleet.LogIndex(n)}, AskedAt: at.Add(time.Duration(n) * time.Second),
 		})
 	}
 	last, ok := s.Newest()
--- a/core/relay/instance.go
+++ b/core/relay/instance.go
@@ -65,7 +65,7 @@
 	// coldUntil is until when it is slow after its start, as it has said; budget is what it was
 	// sent meanwhile.
 	coldUntil time.Time
-	budget    cold.Budget
+	budget    cold.SendBudget
 	// lost is set while it couldn't be reached, or has closed all connections; back is when one was
 	// made again.
 	back time.Time
--- a/core/relay/operation.go
+++ b/core/relay/operation.go
@@ -354,7 +354,7 @@
 		e.RequiredPoint = p
 	}
 	if s, ok := o.g.samples.Oldest(o.age); ok && k == EventPlace {
-		e.Age = o.g.r.now().Sub(s.Asked)
+		e.Age = o.g.r.now().Sub(s.AskedAt)
 	}
 	if o.conn != nil {
 		e.Host = o.conn.via
--- a/core/relay/place.go
+++ b/core/relay/place.go
@@ -145,12 +145,12 @@
 func (g *group) way(now time.Time, i *instance, o *operation) (way, bool) {
 	w := way{inst: i}
 	leads := g.leads(i.info.Name)
-	about := ways.Way{
-		Work: i.work, Ahead: i.busy(), Slots: i.info.Slots, Far: !i.local(), Leads: !o.lead && leads,
+	about := ways.Path{
+		Latency: i.work, Running: i.busy(), Slots: i.info.Slots, Remote: !i.local(), PrimaryRead: !o.lead && leads,
 		Silent: !g.r.reaches(now, i), Cold: !o.lead && i.isCold(now),
 	}
 	if now.Sub(i.workAt) > freshWork {
-		about.Work = 0
+		about.Latency = 0
 	}
 	p, over := g.r.holder(i)
 	if over && o.s.instance == "" && g.r.allow(o.homes, p.DataCentre) {
@@ -162,7 +162,7 @@
 		if !i.bears(now) {
 			return way{}, false
 		}
-		w.conn, about.Steps = i.idle(o.s.account, o.s, o.prep)
+		w.conn, about.SetupStatements = i.idle(o.s.account, o.s, o.prep)
 		about.Connect = w.conn == nil
 	}
 	w.cost = about.Cost(o.route.Target)
--- a/core/relay/prove.go
+++ b/core/relay/prove.go
@@ -28,11 +28,11 @@
 	if asked.Before(g.settledAt) {
 		return
 	}
-	s := fresh.Sample{Position: p, Asked: asked, Reign: t}
+	s := fresh.Sample{Position: p, AskedAt: asked, PrimaryTerm: t}
 	switch {
 	case g.r.lease.RecordsCurrent(now):
 		g.sampled(c.Instance, s)
-	case g.unsure.Asked.IsZero():
+	case g.unsure.AskedAt.IsZero():
 		g.unsure = s
 	}
 }
@@ -48,18 +48,18 @@
 // without a point that is young enough, although replicas have all that they need.
 func (g *group) affirm(now time.Time) {
 	s := g.unsure
-	if s.Asked.IsZero() {
+	if s.AskedAt.IsZero() {
 		return
 	}
 	p, t, ok := g.belief.Primary()
 	switch {
-	case !ok || t != s.Reign || now.Sub(s.Asked) > unsureFor:
+	case !ok || t != s.PrimaryTerm || now.Sub(s.AskedAt) > unsureFor:
 		g.unsure = fresh.Sample{}
-	case !g.sole().Before(s.Asked):
+	case !g.sole().Before(s.AskedAt):
 		g.unsure = fresh.Sample{}
 		g.sampled(p, s)
 	default:
-		g.doubt = later(g.doubt, s.Asked)
+		g.doubt = later(g.doubt, s.AskedAt)
 		g.vouch(now)
 	}
 }
@@ -69,8 +69,8 @@
 	g.samples.Add(s)
 	if g.changing(g.r.now()) && g.sampledAt.Before(g.changedAt) {
 		g.r.note(Event{
-			Kind: EventLeader, Service: g.name, Instance: i, InstancePoint: s.Position, Term: s.Reign,
-			Choice: "let reads go by its point", Reason: "the first since the order", Age: g.r.now().Sub(s.Asked),
+			Kind: EventLeader, Service: g.name, Instance: i, InstancePoint: s.Position, Term: s.PrimaryTerm,
+			Choice: "let reads go by its point", Reason: "the first since the order", Age: g.r.now().Sub(s.AskedAt),
 		})
 	}
 	g.sampledAt = g.r.now()
@@ -220,7 +220,7 @@
 		return
 	}
 	if p, ok := o.answer.Position.Get(); ok && !o.sentAt.Before(g.settledAt) {
-		g.sampled(c.Instance, fresh.Sample{Position: p, Asked: o.sentAt, Reign: c.Term})
+		g.sampled(c.Instance, fresh.Sample{Position: p, AskedAt: o.sentAt, PrimaryTerm: c.Term})
 	}
 	g.confirmed(o, *o.answer)
 }
--- a/core/relay/reign.go
+++ b/core/relay/reign.go
@@ -102,7 +102,7 @@
 // history, whatever either of them lacks of the other's. A point of the new term is in no other
 // history; for one of before, the replica has to have said itself that it is in the new term.
 func (i *instance) joined(s fresh.Sample) bool {
-	return s.Position.Term >= s.Reign || i.term >= s.Reign
+	return s.Position.Term >= s.PrimaryTerm || i.term >= s.PrimaryTerm
 }
 
 // followPart makes the pause between two questions whether a replica has joined grow with the time
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -27,7 +27,7 @@
 	// evacuated data centre any more; zero stands for 5 s.
 	EvacuationTimeout time.Duration
 	// Cold bounds what all hosts together send to an instance that has just started.
-	Cold cold.Bound
+	Cold cold.Limit
 	Now  func() time.Time
 	// Dial has a connection made; ConnOpened, ConnectRefused or ConnClosed tells how it went.
 	Dial func(c *Conn)
@@ -280,7 +280,7 @@
 // HasWaiting reports whether anything waits that a tick may decide on.
 func (r *Relay) HasWaiting() bool {
 	for _, g := range r.groups {
-		if len(g.waiting)+len(g.inquiries)+g.proofs.Len() > 0 || !g.unsure.Asked.IsZero() {
+		if len(g.waiting)+len(g.inquiries)+g.proofs.Len() > 0 || !g.unsure.AskedAt.IsZero() {
 			return true
 		}
 		if g.tended() && g.able(r.now()) != "" {
--- a/core/relay/state.go
+++ b/core/relay/state.go
@@ -83,7 +83,7 @@
 	}
 	s.Primary, s.Term, s.PrimaryKnown = g.belief.Primary()
 	if n, ok := g.samples.Newest(); ok {
-		s.SampleAge = now.Sub(n.Asked)
+		s.SampleAge = now.Sub(n.AskedAt)
 	}
 	for _, i := range g.instances {
 		p, _ := g.r.holder(i)
--- a/core/relay/tick.go
+++ b/core/relay/tick.go
@@ -266,7 +266,7 @@
 	if now.Sub(g.readAt) > sampleFor {
 		return
 	}
-	if s, ok := g.samples.Newest(); ok && now.Sub(s.Asked) < sampleAge {
+	if s, ok := g.samples.Newest(); ok && now.Sub(s.AskedAt) < sampleAge {
 		return
 	}
 	n, _, ok := g.belief.Primary()
--- a/core/relay/warm.go
+++ b/core/relay/warm.go
@@ -40,7 +40,7 @@
 	return all > 0
 }
 
-func (i *instance) most() int { return i.g.r.cfg.Cold.Most(i.g.service.ColdRate) }
+func (i *instance) most() int { return i.g.r.cfg.Cold.MaxStatements(i.g.service.ColdRate) }
 
 // spend counts what is sent to the instance while it is cold; questions of the host's own take no
 // work.
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -114,7 +114,7 @@
 	// Evacuate is the time in which an evacuation has to be over.
 	Evacuate time.Duration
 	// Cold is how much more than the rate that a cold instance bears it may be sent.
-	Cold cold.Bound
+	Cold cold.Limit
 }
 
 // Level is the least severe level that is logged.
@@ -285,7 +285,7 @@
 	a.Memory = s.Size("memory", DefaultMemory, smallestMemory, largestMemory)
 	a.Capacity = fleet.Capacity(s.Float("capacity", 0, 0, mostCapacity))
 	a.Evacuate = s.Duration("evacuate", DefaultEvacuate, time.Second, time.Hour)
-	a.Cold = cold.Bound{
+	a.Cold = cold.Limit{
 		Overshoot: s.Float("cold-overshoot", DefaultColdOvershoot, 0, mostColdOvershoot),
 		Slack:     s.Int("cold-slack", DefaultColdSlack, 0, mostColdSlack),
 	}
--- a/core/share/fleet_test.go
+++ b/core/share/fleet_test.go
@@ -14,7 +14,7 @@
 // fleetOf is some hosts that report to each other, with the operations that they admitted.
 type fleetOf struct {
 	now      time.Time
-	hosts    []*share.Fleet
+	hosts    []*share.Limiter
 	seq      uint64
 	epochs   map[int]uint64
 	admitted []time.Time
@@ -26,14 +26,14 @@
 func newFleet(n int) *fleetOf {
 	f := &fleetOf{now: time.Unix(1000, 0), epochs: map[int]uint64{}, cut: func(int, int) bool { return false }}
 	for i := range n {
-		h := &share.Fleet{}
+		h := &share.Limiter{}
 		var others []fleet.Host
 		for o := range n {
 			if o != i {
 				others = append(others, name(o))
 			}
 		}
-		h.Members(f.now, others)
+		h.SetPeers(f.now, others)
 		f.hosts = append(f.hosts, h)
 	}
 	return f
@@ -41,14 +41,14 @@
 
 // restart replaces the process of one host.
 func (f *fleetOf) restart(n int) {
-	h := &share.Fleet{}
+	h := &share.Limiter{}
 	var others []fleet.Host
 	for o := range f.hosts {
 		if o != n {
 			others = append(others, name(o))
 		}
 	}
-	h.Members(f.now, others)
+	h.SetPeers(f.now, others)
 	f.hosts[n] = h
 	f.epochs[n]++
 }
@@ -93,7 +93,7 @@
 	for i, h := range f.hosts {
 		for o := range f.hosts {
 			if o != i && !f.cut(i, o) {
-				f.hosts[o].Heard(f.now, name(i), f.epochs[i], f.seq, h.Usage(f.now, f.seq%10 == 0))
+				f.hosts[o].AddReport(f.now, name(i), f.epochs[i], f.seq, h.Usage(f.now, f.seq%10 == 0))
 			}
 		}
 	}
--- a/core/share/hosts.go
+++ b/core/share/hosts.go
@@ -32,8 +32,8 @@
 	return t.Demand * math.Exp(-h.heard.Sub(t.at).Seconds()/demandOver.Seconds())
 }
 
-// Members tells which other hosts there are.
-func (f *Fleet) Members(now time.Time, hs []fleet.Host) {
+// SetPeers tells which other hosts there are.
+func (f *Limiter) SetPeers(now time.Time, hs []fleet.Host) {
 	f.start(now)
 	f.members = fleet.NewSet(hs...)
 	for n, h := range f.hosts {
@@ -43,9 +43,9 @@
 	}
 }
 
-// Heard takes in another host's report. Reports of one process that are late or doubled
+// AddReport takes in another host's report. Reports of one process that are late or doubled
 // change nothing.
-func (f *Fleet) Heard(now time.Time, from fleet.Host, epoch, seq uint64, us []Usage) {
+func (f *Limiter) AddReport(now time.Time, from fleet.Host, epoch, seq uint64, us []Usage) {
 	f.start(now)
 	h := f.hosts[from]
 	known := h != nil
@@ -80,7 +80,7 @@
 // untold guesses what the other hosts have admitted since their last reports: the same part
 // as this one of what is asked of them. Without it each host gives away, in a sudden flood,
 // what all believe to be left.
-func (f *Fleet) untold(now time.Time, a *account, n fleet.Account) float64 {
+func (f *Limiter) untold(now time.Time, a *account, n fleet.Account) float64 {
 	sum := 0.0
 	for name, h := range f.hosts {
 		if silent := now.Sub(h.heard); f.members.Has(name) && silent <= f.fresh() {
@@ -91,7 +91,7 @@
 }
 
 // whole reports whether all other hosts have told lately what they admit.
-func (f *Fleet) whole(now time.Time) bool {
+func (f *Limiter) whole(now time.Time) bool {
 	if f.members == nil {
 		return false
 	}
@@ -108,7 +108,7 @@
 //
 // While a host isn't heard that part doesn't grow: the other side of a cut sees its own
 // demand grow as well, and both would add up to twice the rate.
-func (f *Fleet) side(now time.Time, a *account, n fleet.Account) float64 {
+func (f *Limiter) side(now time.Time, a *account, n fleet.Account) float64 {
 	if f.members == nil {
 		return 1.0 / unknownHosts
 	}
@@ -139,9 +139,9 @@
 
 // counts reports whether a host has a share of the rates: it is on the list, or was heard
 // lately.
-func (f *Fleet) counts(now time.Time, n fleet.Host, h *host) bool {
+func (f *Limiter) counts(now time.Time, n fleet.Host, h *host) bool {
 	return f.members.Has(n) || now.Sub(h.heard) <= forgetAfter
 }
 
 // fresh is how old the report of a host may be for the picture to count as whole.
-func (f *Fleet) fresh() time.Duration { return mesh.IntervalsFor(1 + len(f.members)).HeardWithin }
+func (f *Limiter) fresh() time.Duration { return mesh.IntervalsFor(1 + len(f.members)).HeardWithin }
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -64,15 +64,15 @@
 	Demand   float64
 }
 
-// Fleet keeps the accounts' rates on one host. The zero Fleet works.
-type Fleet struct {
+// Limiter keeps the accounts' rates on one host. The zero Limiter works.
+type Limiter struct {
 	accounts map[fleet.Account]*account
 	hosts    map[fleet.Host]*host
 	members  fleet.Set[fleet.Host]
 	began    time.Time
 }
 
-func (f *Fleet) start(now time.Time) {
+func (f *Limiter) start(now time.Time) {
 	if f.accounts == nil {
 		f.accounts = map[fleet.Account]*account{}
 		f.hosts = map[fleet.Host]*host{}
@@ -81,7 +81,7 @@
 }
 
 // Admit takes one operation from an account's rate, or says when to come back.
-func (f *Fleet) Admit(now time.Time, c catalog.Account) (time.Duration, bool) {
+func (f *Limiter) Admit(now time.Time, c catalog.Account) (time.Duration, bool) {
 	if c.Rate <= 0 {
 		return 0, true
 	}
@@ -108,7 +108,7 @@
 // part returns which part of an account's operations the hosts that hear each other may admit
 // now, for all of them together to admit their side of the rate and, besides, what is left
 // in the bucket.
-func (f *Fleet) part(a *account, n fleet.Account, level, side float64) float64 {
+func (f *Limiter) part(a *account, n fleet.Account, level, side float64) float64 {
 	if level >= a.burst*side*plenty {
 		return 1
 	}
@@ -118,7 +118,7 @@
 
 // demand returns what is asked for of an account, a second, on all hosts that are heard. One
 // that was never heard is taken to be asked for as much as this one.
-func (f *Fleet) demand(a *account, n fleet.Account) float64 {
+func (f *Limiter) demand(a *account, n fleet.Account) float64 {
 	sum := a.demand
 	for name := range f.members {
 		if h := f.hosts[name]; h == nil {
@@ -130,9 +130,9 @@
 	return sum
 }
 
-// Return gives back an operation that was admitted and not run: the account would else
+// Refund gives back an operation that was admitted and not run: the account would else
 // pay for what it was refused, as when a primary is lost and all its callers try again.
-func (f *Fleet) Return(n fleet.Account) {
+func (f *Limiter) Refund(n fleet.Account) {
 	a := f.accounts[n]
 	if a == nil || a.admitted == 0 {
 		return
@@ -143,7 +143,7 @@
 	a.credit = min(a.credit+1, 2)
 }
 
-func (f *Fleet) account(now time.Time, c catalog.Account) *account {
+func (f *Limiter) account(now time.Time, c catalog.Account) *account {
 	a := f.accounts[c.Name]
 	if a == nil {
 		a = &account{at: now, demandAt: now, part: 1, credit: rand.Float64(), rate: c.Rate, burst: max(c.Burst, 1)}
@@ -156,7 +156,7 @@
 
 // firstPool guesses what the fleet's bucket holds of an account that is asked for here for
 // the first time: little when the process begins, and what others have left since.
-func (f *Fleet) firstPool(now time.Time, c catalog.Account) float64 {
+func (f *Limiter) firstPool(now time.Time, c catalog.Account) float64 {
 	left := c.Rate
 	for name, h := range f.hosts {
 		if f.counts(now, name, h) {
@@ -169,7 +169,7 @@
 // Usage returns what this host has to tell of its accounts: of those that were asked for
 // lately, or of all. Whoever hears of all now and then misses nothing for long, as counts
 // are running totals.
-func (f *Fleet) Usage(now time.Time, all bool) []Usage {
+func (f *Limiter) Usage(now time.Time, all bool) []Usage {
 	var out []Usage
 	for n, a := range f.accounts {
 		if !all && now.Sub(a.changed) > toldFor {
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -150,7 +150,7 @@
 				others = append(others, name(o))
 			}
 		}
-		h.Members(f.now, others)
+		h.SetPeers(f.now, others)
 	}
 	f.run(2*time.Second, hotel, usual)
 	f.cut = func(int, int) bool { return false }
@@ -183,7 +183,7 @@
 	c := qt.New(t)
 	total := 0
 	for range 6 {
-		var h share.Fleet
+		var h share.Limiter
 		for range 200 {
 			if _, ok := h.Admit(time.Unix(1000, 0), hotel); ok {
 				total++
@@ -202,7 +202,7 @@
 	for range 500 {
 		_, ok := f.hosts[0].Admit(f.now, hotel)
 		c.Assert(ok, qt.IsTrue)
-		f.hosts[0].Return(hotel.Name)
+		f.hosts[0].Refund(hotel.Name)
 	}
 }
 
@@ -224,9 +224,9 @@
 	h := f.hosts[0]
 	_, _ = h.Admit(now, hotel)
 	now = now.Add(2 * time.Second)
-	h.Heard(now, "h1", 1, 5, []share.Usage{{Account: "hotel", Admitted: 10, Demand: 10}})
+	h.AddReport(now, "h1", 1, 5, []share.Usage{{Account: "hotel", Admitted: 10, Demand: 10}})
 	before := h.Usage(now, true)
-	h.Heard(now, "h1", 1, 4, []share.Usage{{Account: "hotel", Admitted: 1e6, Demand: math.MaxFloat32}})
+	h.AddReport(now, "h1", 1, 4, []share.Usage{{Account: "hotel", Admitted: 1e6, Demand: math.MaxFloat32}})
 	c.Assert(h.Usage(now, true), qt.DeepEquals, before)
 	_, ok := h.Admit(now, hotel)
 	c.Assert(ok, qt.IsTrue)
--- a/core/ways/fleet_test.go
+++ b/core/ways/fleet_test.go
@@ -124,11 +124,11 @@
 func (p *play) place(e *entry) {
 	best, least := 0, time.Duration(-1)
 	for n, i := range p.instances {
-		w := ways.Way{
-			Work: e.took[n], Ahead: e.ahead[n], Slots: i.slots, Far: i.centre != e.centre, Leads: i.leads,
+		w := ways.Path{
+			Latency: e.took[n], Running: e.ahead[n], Slots: i.slots, Remote: i.centre != e.centre, PrimaryRead: i.leads,
 		}
 		if p.now-e.at[n] > known {
-			w.Work = 0
+			w.Latency = 0
 		}
 		if c := w.Cost(p.target); least < 0 || c < least {
 			best, least = n, c
--- a/core/ways/ways.go
+++ b/core/ways/ways.go
@@ -7,22 +7,22 @@
 
 import "time"
 
-// Way is one way to an instance, by what is known of it.
-type Way struct {
-	// Work is how long the instance's statements have taken lately, with their wait there; zero
+// Path is one way to an instance, by what is known of it.
+type Path struct {
+	// Latency is how long the instance's statements have taken lately, with their wait there; zero
 	// if none has ended lately.
-	Work time.Duration
-	// Ahead is how many statements of this host the instance works on, Slots on how many it can
+	Latency time.Duration
+	// Running is how many statements of this host the instance works on, Slots on how many it can
 	// work at a time.
-	Ahead, Slots int
-	// Steps counts the proxy's own statements that have to go first, Connect is set where a
+	Running, Slots int
+	// SetupStatements counts the proxy's own statements that have to go first, Connect is set where a
 	// connection has to be made.
-	Steps   int
-	Connect bool
-	// Far is set for an instance in another data centre.
-	Far bool
-	// Leads is set where a read that a replica could run would take the primary's time.
-	Leads bool
+	SetupStatements int
+	Connect         bool
+	// Remote is set for an instance in another data centre.
+	Remote bool
+	// PrimaryRead is set where a read that a replica could run would take the primary's time.
+	PrimaryRead bool
 	// Silent is set for an instance that can't be reached now.
 	Silent bool
 	// Cold is set where a read that another instance could run would go to one that has just started.
@@ -62,20 +62,20 @@
 // A read on the primary costs as much: beside it all reads of its data centre would be its, and
 // the orders of all others stand behind them. Between a primary that is near and replicas that
 // are far the wait decides.
-func (w Way) Cost(target time.Duration) time.Duration {
-	work := w.Work
+func (w Path) Cost(target time.Duration) time.Duration {
+	work := w.Latency
 	if work == 0 {
 		work = usualWork
 	}
-	cost := work*time.Duration(1+w.Ahead)/time.Duration(max(w.Slots, 1)) + time.Duration(w.Steps)*stepCost
+	cost := work*time.Duration(1+w.Running)/time.Duration(max(w.Slots, 1)) + time.Duration(w.SetupStatements)*stepCost
 	add := func(on bool, d time.Duration) {
 		if on {
 			cost += d
 		}
 	}
 	add(w.Connect, connectCost)
-	add(w.Far, max(farCost, target/nearPart))
-	add(w.Leads, max(leadCost, target/nearPart))
+	add(w.Remote, max(farCost, target/nearPart))
+	add(w.PrimaryRead, max(leadCost, target/nearPart))
 	add(w.Cold, coldCost)
 	add(w.Silent, silentCost)
 	return cost
--- a/core/ways/ways_test.go
+++ b/core/ways/ways_test.go
@@ -135,8 +135,8 @@
 // The primary takes what writes, so a read goes there only where a replica makes its caller wait.
 func TestReadsLeaveThePrimaryAlone(t *testing.T) {
 	c := qt.New(t)
-	primary, replica := ways.Way{Slots: 3, Leads: true}, ways.Way{Slots: 3}
+	primary, replica := ways.Path{Slots: 3, PrimaryRead: true}, ways.Path{Slots: 3}
 	c.Assert(replica.Cost(target) < primary.Cost(target), qt.IsTrue)
-	replica.Work, replica.Ahead = 100*time.Millisecond, 3
+	replica.Latency, replica.Running = 100*time.Millisecond, 3
 	c.Assert(primary.Cost(target) < replica.Cost(target), qt.IsTrue)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -61,7 +61,7 @@
 	events   events
 	gossip   *gossip.Gossip
 	peers    peers
-	rates    share.Fleet
+	rates    share.Limiter
 	// links are to the hosts that were heard, looked after at tended.
 	links  map[fleet.Host]*link
 	tended time.Time
@@ -114,7 +114,7 @@
 		Admit: func(a catalog.Account) (time.Duration, bool) {
 			return h.rates.Admit(clock.Now(), a)
 		},
-		Refund:           func(n fleet.Account) { h.rates.Return(n) },
+		Refund:           func(n fleet.Account) { h.rates.Refund(n) },
 		RequestPromotion: h.registry.RequestPromotion,
 		RequestTick:      h.hurry,
 		ObserveLatency:   h.observe,
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -238,7 +238,7 @@
 	h.registry.SetHostCount(h.peers.size())
 	h.relay.SetHostCount(1 + len(h.peers.addresses))
 	h.relay.SetDataCentreSizes(h.membersBy())
-	h.rates.Members(clock.Now(), slices.Collect(maps.Keys(h.peers.addresses)))
+	h.rates.SetPeers(clock.Now(), slices.Collect(maps.Keys(h.peers.addresses)))
 }
 
 // membersBy counts the hosts of each data centre, this one included.
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -141,7 +141,7 @@
 	k.capacity, k.news = r.Capacity, len(r.Unreachable)+len(r.Reachable)
 	k.reads = r.IsReader
 	k.heard, k.leaving, k.storeless, k.epoch, k.seq = now, r.Leaving, r.StoreUnreachable, r.Epoch, r.Seq
-	h.rates.Heard(now, r.Host, r.Epoch, r.Seq, r.Usages)
+	h.rates.AddReport(now, r.Host, r.Epoch, r.Seq, r.Usages)
 	is := make([]fleet.Instance, 0, len(r.Unreachable))
 	for _, d := range r.Unreachable {
 		is = append(is, d.Instance)
