--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -49,15 +49,17 @@
 	Priority int
 	// Public lets callers in who show no key.
 	Public bool
-	// Homes are the regions that the statements may enter.
-	Homes Homes
+	// AllowedRegions are the regions that the statements may enter.
+	AllowedRegions AllowedRegions
 }
 
-// Homes are the regions in which statements may be read and run; none allow all.
-type Homes fleet.Set[fleet.Region]
+// AllowedRegions are the regions in which statements may be read and run; none allow all.
+type AllowedRegions fleet.Set[fleet.Region]
 
 // Allow reports whether statements may enter a region.
-func (h Homes) Allow(r fleet.Region) bool { return len(h) == 0 || fleet.Set[fleet.Region](h).Has(r) }
+func (h AllowedRegions) Allow(r fleet.Region) bool {
+	return len(h) == 0 || fleet.Set[fleet.Region](h).Has(r)
+}
 
 // Service is one group of instances.
 type Service struct {
@@ -78,8 +80,8 @@
 	// Zero sets no limit.
 	Rate, Burst float64
 	Keys        []Key
-	// Homes are the regions that its statements may enter, whatever the route allows besides.
-	Homes Homes
+	// AllowedRegions are the regions that its statements may enter, whatever the route allows besides.
+	AllowedRegions AllowedRegions
 }
 
 // Catalog is one version of it all. It isn't changed once it is in use.
@@ -112,8 +114,8 @@
 	}
 }
 
-// Owner returns the account that a key belongs to.
-func (c *Catalog) Owner(k Key) (fleet.Account, bool) {
+// AccountOf returns the account that a key belongs to.
+func (c *Catalog) AccountOf(k Key) (fleet.Account, bool) {
 	if c.owners == nil {
 		c.index()
 	}
--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -9,8 +9,8 @@
 	"skylarkdeal/core/catalog"
 )
 
-func ExampleHomes_Allow() {
-	all, one := catalog.Homes{}, catalog.Homes{"hokkaido": {}}
+func ExampleAllowedRegions_Allow() {
+	all, one := catalog.AllowedRegions{}, catalog.AllowedRegions{"hokkaido": {}}
 	fmt.Println(all.Allow("honshu"), one.Allow("hokkaido"), one.Allow("honshu"))
 	// Output: true true false
 }
--- a/core/document/document_test.go
+++ b/core/document/document_test.go
@@ -155,13 +155,13 @@
 	s := document.Stamp{
 		Edit: "abc", Seq: 9, After: 12, Base: 100, By: "aiko", At: time.Date(2026, 12, 2, 3, 4, 5, 0, time.UTC),
 	}
-	value := document.Seal(s, []byte("[service]\n"))
-	got, text := document.Unseal(value)
+	value := document.AddStamp(s, []byte("[service]\n"))
+	got, text := document.SplitStamp(value)
 	c.Assert(got, qt.Equals, s)
 	c.Assert(string(text), qt.Equals, "[service]\n")
 	c.Assert(document.VersionAt(value, 13), qt.Equals, document.Version(113))
 	c.Assert(document.RevisionOf(value, 113), qt.Equals, uint64(13))
-	got, text = document.Unseal([]byte("[service]\n"))
+	got, text = document.SplitStamp([]byte("[service]\n"))
 	c.Assert(got, qt.Equals, document.Stamp{})
 	c.Assert(string(text), qt.Equals, "[service]\n")
 }
@@ -231,8 +231,8 @@
 	f.Add("; skylarkdeal edit=a seq=1 after=2 base=3 by=x at=2026-12-02T00:00:00Z\n[service]")
 	f.Add("; skylarkdeal seq=-1 base=99999999999999999999")
 	f.Fuzz(func(t *testing.T, value string) {
-		s, text := document.Unseal([]byte(value))
-		again, rest := document.Unseal(document.Seal(s, text))
+		s, text := document.SplitStamp([]byte(value))
+		again, rest := document.SplitStamp(document.AddStamp(s, text))
 		if again.Seq != s.Seq || again.Base != s.Base || again.After != s.After || string(rest) != string(text) {
 			t.Fatalf("%+v and %q became %+v and %q", s, text, again, rest)
 		}
--- a/core/document/stamp.go
+++ b/core/document/stamp.go
@@ -47,14 +47,14 @@
 		s.Edit, s.Seq, s.After, s.Base, strings.ReplaceAll(s.By, " ", "-"), s.At.UTC().Format(time.RFC3339))
 }
 
-// Seal returns text under the stamp, as it goes into the store.
-func Seal(s Stamp, text []byte) []byte {
+// AddStamp returns text under the stamp, as it goes into the store.
+func AddStamp(s Stamp, text []byte) []byte {
 	return append([]byte(s.String()+"\n"), text...)
 }
 
-// Unseal takes the stamp off a document from the store. Without one the Stamp is
+// SplitStamp takes the stamp off a document from the store. Without one the Stamp is
 // zero and text is all of it.
-func Unseal(value []byte) (Stamp, []byte) {
+func SplitStamp(value []byte) (Stamp, []byte) {
 	line, text, _ := bytes.Cut(value, []byte("\n"))
 	fields, ok := strings.CutPrefix(string(line), stampPrefix)
 	if !ok {
@@ -85,12 +85,12 @@
 // VersionAt returns the version of a document that the store holds at a
 // revision.
 func VersionAt(value []byte, revision uint64) Version {
-	s, _ := Unseal(value)
+	s, _ := SplitStamp(value)
 	return Version(s.Base + revision)
 }
 
 // RevisionOf returns the store's revision of a version.
 func RevisionOf(value []byte, v Version) uint64 {
-	s, _ := Unseal(value)
+	s, _ := SplitStamp(value)
 	return uint64(v) - min(s.Base, uint64(v))
 }
--- a/core/document/table.go
+++ b/core/document/table.go
@@ -25,8 +25,8 @@
 	From    Source
 }
 
-// Held is a document in effect.
-type Held struct {
+// ActiveDocument is a document in effect.
+type ActiveDocument struct {
 	Document *Document
 	Text     []byte
 	Since    time.Time
@@ -57,22 +57,22 @@
 	VerdictConflict Verdict = "conflict"
 )
 
-// Table holds the documents in effect on one host and decides which versions
-// come into effect. The zero Table is empty.
+// Documents holds the documents in effect on one host and decides which versions
+// come into effect. The zero Documents is empty.
 //
 // A version replaces only a lower one, so no order in which versions arrive,
 // from a stale peer, a store that answers from the past or one that was reset,
 // takes a host back. A version with mistakes changes nothing but Rejected: the
 // last good one goes on.
-type Table struct {
-	held     map[fleet.Service]Held
+type Documents struct {
+	held     map[fleet.Service]ActiveDocument
 	rejected map[fleet.Service]Rejected
 	// confirmed is when all that is held was last known to be the newest.
 	confirmed time.Time
 }
 
 // Offer decides on a version. The error says why one is invalid or in conflict.
-func (t *Table) Offer(o Offer, now time.Time) (Verdict, error) {
+func (t *Documents) Offer(o Offer, now time.Time) (Verdict, error) {
 	h, ok := t.held[o.Service]
 	if ok && o.Version < h.Document.Version {
 		return VerdictStale, nil
@@ -99,18 +99,18 @@
 	return VerdictAdopted, nil
 }
 
-func (t *Table) adopt(o Offer, d *Document, now time.Time) {
+func (t *Documents) adopt(o Offer, d *Document, now time.Time) {
 	if t.held == nil {
-		t.held = map[fleet.Service]Held{}
+		t.held = map[fleet.Service]ActiveDocument{}
 	}
-	t.held[o.Service] = Held{Document: d, Text: o.Text, Since: now, From: o.From}
+	t.held[o.Service] = ActiveDocument{Document: d, Text: o.Text, Since: now, From: o.From}
 	if t.rejected[o.Service].Version <= o.Version {
 		delete(t.rejected, o.Service)
 	}
 }
 
 // reject keeps the newest invalid version, for reports and for other hosts.
-func (t *Table) reject(o Offer, now time.Time, err error) {
+func (t *Documents) reject(o Offer, now time.Time, err error) {
 	if t.rejected == nil {
 		t.rejected = map[fleet.Service]Rejected{}
 	}
@@ -120,39 +120,39 @@
 }
 
 // Get returns the document of a service that is in effect.
-func (t *Table) Get(s fleet.Service) (Held, bool) {
+func (t *Documents) Get(s fleet.Service) (ActiveDocument, bool) {
 	h, ok := t.held[s]
 	return h, ok
 }
 
 // All returns the documents in effect, by service.
-func (t *Table) All() []Held {
-	return slices.SortedFunc(maps.Values(t.held), func(a, b Held) int {
+func (t *Documents) All() []ActiveDocument {
+	return slices.SortedFunc(maps.Values(t.held), func(a, b ActiveDocument) int {
 		return cmp.Compare(a.Document.Service, b.Document.Service)
 	})
 }
 
 // Rejected returns the newer versions that are invalid, by service.
-func (t *Table) Rejected() []Rejected {
+func (t *Documents) Rejected() []Rejected {
 	return slices.SortedFunc(maps.Values(t.rejected), func(a, b Rejected) int {
 		return cmp.Compare(a.Service, b.Service)
 	})
 }
 
 // Confirm records that at that time all that is held was the newest.
-func (t *Table) Confirm(at time.Time) {
+func (t *Documents) Confirm(at time.Time) {
 	if at.After(t.confirmed) {
 		t.confirmed = at
 	}
 }
 
 // Confirmed returns the time of the last confirmation, zero if there was none.
-func (t *Table) Confirmed() time.Time {
+func (t *Documents) Confirmed() time.Time {
 	return t.confirmed
 }
 
-// Known is how far a host's knowledge of one document reaches.
-type Known struct {
+// KnownVersions is how far a host's knowledge of one document reaches.
+type KnownVersions struct {
 	// Version is in effect, zero if none is.
 	Version Version
 	// Seen is the newest that has come, valid or not.
@@ -160,20 +160,20 @@
 }
 
 // Known returns how far the knowledge of each document reaches.
-func (t *Table) Known() map[fleet.Service]Known {
-	k := make(map[fleet.Service]Known, len(t.held))
+func (t *Documents) Known() map[fleet.Service]KnownVersions {
+	k := make(map[fleet.Service]KnownVersions, len(t.held))
 	for s, h := range t.held {
-		k[s] = Known{Version: h.Document.Version, Seen: h.Document.Version}
+		k[s] = KnownVersions{Version: h.Document.Version, Seen: h.Document.Version}
 	}
 	for s, r := range t.rejected {
-		k[s] = Known{Version: k[s].Version, Seen: max(k[s].Seen, r.Version)}
+		k[s] = KnownVersions{Version: k[s].Version, Seen: max(k[s].Seen, r.Version)}
 	}
 	return k
 }
 
-// Sum returns one number for all that Known tells. Hosts with equal sums know
+// Digest returns one number for all that Known tells. Hosts with equal sums know
 // the same, but for the odds of a hash of 64 bits.
-func (t *Table) Sum() uint64 {
+func (t *Documents) Digest() uint64 {
 	sum := uint64(0)
 	for s, k := range t.Known() {
 		b := binary.BigEndian.AppendUint64([]byte(s), uint64(k.Version))
@@ -184,7 +184,7 @@
 
 // Revision returns the highest revision of the store that is known from the
 // versions that have come.
-func (t *Table) Revision() uint64 {
+func (t *Documents) Revision() uint64 {
 	r := uint64(0)
 	for _, h := range t.held {
 		r = max(r, RevisionOf(h.Text, h.Document.Version))
@@ -197,7 +197,7 @@
 
 // Missing returns what a host lacks whose knowledge is other, and the services
 // of which that host has more.
-func (t *Table) Missing(other map[fleet.Service]Known) (offers []Offer, wanted []fleet.Service) {
+func (t *Documents) Missing(other map[fleet.Service]KnownVersions) (offers []Offer, wanted []fleet.Service) {
 	mine := t.Known()
 	for s := range other {
 		if other[s].Version > mine[s].Version || other[s].Seen > mine[s].Seen {
@@ -220,7 +220,7 @@
 }
 
 // Offers returns all that is known of the services.
-func (t *Table) Offers(services []fleet.Service) []Offer {
+func (t *Documents) Offers(services []fleet.Service) []Offer {
 	var l []Offer
 	for _, s := range services {
 		if _, ok := t.held[s]; ok {
@@ -233,7 +233,7 @@
 	return l
 }
 
-func (t *Table) offer(s fleet.Service) Offer {
+func (t *Documents) offer(s fleet.Service) Offer {
 	h := t.held[s]
 	return Offer{Service: s, Version: h.Document.Version, Text: h.Text, From: h.From}
 }
--- a/core/document/table_test.go
+++ b/core/document/table_test.go
@@ -23,7 +23,7 @@
 
 func TestTableOffers(t *testing.T) {
 	c := qt.New(t)
-	var table document.Table
+	var table document.Documents
 	for _, t := range []struct {
 		version  document.Version
 		text     []byte
@@ -68,7 +68,7 @@
 type world struct {
 	// versions are what the store has ever held, one service each line.
 	versions []document.Offer
-	hosts    []*document.Table
+	hosts    []*document.Documents
 	// reached is the highest version that each host has had in effect.
 	reached []map[fleet.Service]document.Version
 }
@@ -106,7 +106,7 @@
 		const hosts = 4
 		w := &world{}
 		for range hosts {
-			w.hosts = append(w.hosts, &document.Table{})
+			w.hosts = append(w.hosts, &document.Documents{})
 			w.reached = append(w.reached, map[fleet.Service]document.Version{})
 		}
 		host := rapid.IntRange(0, hosts-1)
@@ -137,7 +137,7 @@
 			},
 			"restart": func(t *rapid.T) {
 				h := host.Draw(t, "host")
-				w.hosts[h] = &document.Table{}
+				w.hosts[h] = &document.Documents{}
 				w.reached[h] = map[fleet.Service]document.Version{}
 			},
 		})
@@ -149,9 +149,9 @@
 // the store can make.
 func TestDigestsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		hosts := make([]*document.Table, 4)
+		hosts := make([]*document.Documents, 4)
 		for n := range hosts {
-			hosts[n] = &document.Table{}
+			hosts[n] = &document.Documents{}
 		}
 		for v := range rapid.IntRange(1, 12).Draw(t, "versions") {
 			s := fleet.Service([]string{"a", "b", "c"}[v%3])
@@ -170,7 +170,7 @@
 			}
 		}
 		for n := range hosts {
-			if hosts[n].Sum() != hosts[0].Sum() {
+			if hosts[n].Digest() != hosts[0].Digest() {
 				t.Fatalf("host %d knows %v, host 0 %v", n, hosts[n].Known(), hosts[0].Known())
 			}
 			offers, wanted := hosts[n].Missing(hosts[0].Known())
@@ -183,15 +183,15 @@
 
 func TestMissingTellsBothSides(t *testing.T) {
 	c := qt.New(t)
-	var a, b document.Table
-	offer := func(t *document.Table, s fleet.Service, v document.Version, holders int) {
+	var a, b document.Documents
+	offer := func(t *document.Documents, s fleet.Service, v document.Version, holders int) {
 		_, _ = t.Offer(document.Offer{Service: s, Version: v, Text: text(s, holders)}, start)
 	}
 	offer(&a, "x", 1, 1)
 	offer(&a, "x", 2, 0)
 	offer(&b, "x", 1, 1)
 	offer(&b, "y", 3, 1)
-	c.Assert(a.Sum(), qt.Not(qt.Equals), b.Sum())
+	c.Assert(a.Digest(), qt.Not(qt.Equals), b.Digest())
 	offers, wanted := a.Missing(b.Known())
 	c.Assert(offers, qt.HasLen, 1)
 	c.Assert(offers[0].Version, qt.Equals, document.Version(2))
--- a/core/relay/conn.go
+++ b/core/relay/conn.go
@@ -68,7 +68,7 @@
 
 // sharedName is the name under which all sessions share a prepared statement on the
 // connections to instances: those with equal shapes are the same.
-func sharedName(s statement.Shape) string {
+func sharedName(s statement.Definition) string {
 	kind := "r"
 	if s.Writes {
 		kind = "w"
@@ -98,7 +98,7 @@
 	}
 	if p != nil && (drop || !c.prepared[p.name]) {
 		out = append(out, statement.Statement{
-			ID: p.id, Kind: statement.KindPrepare, Name: p.name, Shape: p.shape,
+			ID: p.id, Kind: statement.KindPrepare, Name: p.name, Definition: p.shape,
 		})
 	}
 	return out
--- a/core/relay/group.go
+++ b/core/relay/group.go
@@ -18,7 +18,7 @@
 	name    fleet.Service
 	service catalog.Service
 	// confined are the regions of the service's databases that may not be served everywhere.
-	confined  []catalog.Homes
+	confined  []catalog.AllowedRegions
 	instances map[fleet.Instance]*instance
 	belief    leader.PrimaryState
 	proofs    leader.PendingAnswers
--- a/core/relay/homes.go
+++ b/core/relay/homes.go
@@ -8,7 +8,7 @@
 // homes are the regions that one operation may enter: those that its route and its account both
 // allow.
 type homes struct {
-	route, account catalog.Homes
+	route, account catalog.AllowedRegions
 }
 
 // bound reports whether the operation may not go everywhere.
@@ -58,9 +58,9 @@
 		g.confined = nil
 	}
 	for _, route := range c.Routes {
-		if len(route.Homes) > 0 {
+		if len(route.AllowedRegions) > 0 {
 			g := r.group(route.Service)
-			g.confined = append(g.confined, route.Homes)
+			g.confined = append(g.confined, route.AllowedRegions)
 		}
 	}
 }
--- a/core/relay/homes_test.go
+++ b/core/relay/homes_test.go
@@ -14,7 +14,7 @@
 
 // confine has the reads of one database, or one account, enter some regions only.
 func (w *world) confine(db catalog.Database, a fleet.Account, regions ...fleet.Region) {
-	h := catalog.Homes{}
+	h := catalog.AllowedRegions{}
 	for _, r := range regions {
 		h[r] = struct{}{}
 	}
@@ -22,13 +22,13 @@
 		routes, accounts := map[catalog.Database]catalog.Route{}, map[fleet.Account]catalog.Account{}
 		for n, r := range d.Routes {
 			if n == db {
-				r.Homes = h
+				r.AllowedRegions = h
 			}
 			routes[n] = r
 		}
 		for n, o := range d.Accounts {
 			if n == a {
-				o.Homes = h
+				o.AllowedRegions = h
 			}
 			accounts[n] = o
 		}
--- a/core/relay/node_test.go
+++ b/core/relay/node_test.go
@@ -48,7 +48,7 @@
 	// writes is set in a transaction that only a primary takes.
 	writes bool
 	values map[string]string
-	names  map[string]statement.Shape
+	names  map[string]statement.Definition
 	closed bool
 }
 
@@ -99,7 +99,7 @@
 	case statement.KindSet:
 		l.values[q.Name] = q.Value
 	case statement.KindPrepare:
-		l.names[q.Name] = q.Shape
+		l.names[q.Name] = q.Definition
 	case statement.KindBegin, statement.KindBeginRead:
 		if q.Kind == statement.KindBegin && n.role != fleet.RolePrimary {
 			return n.answer(l, statement.Answer{Code: statement.CodeReadOnly})
--- a/core/relay/operation.go
+++ b/core/relay/operation.go
@@ -75,9 +75,9 @@
 	if p != nil {
 		o.q.Name = p.name
 	}
-	o.homes.route = s.route.Homes
+	o.homes.route = s.route.AllowedRegions
 	if s.r.catalog != nil {
-		o.homes.account = s.r.catalog.Accounts[s.account].Homes
+		o.homes.account = s.r.catalog.Accounts[s.account].AllowedRegions
 	}
 	if s.instance != "" {
 		// The host that asks has seen to its homes.
--- a/core/relay/query.go
+++ b/core/relay/query.go
@@ -80,7 +80,7 @@
 		s.refuse(statement.CodeTooMany, "too many prepared statements in one session", 0)
 		return
 	}
-	s.prepared[q.Name] = &prepared{shape: q.Shape, name: sharedName(q.Shape), id: q.ID}
+	s.prepared[q.Name] = &prepared{shape: q.Definition, name: sharedName(q.Definition), id: q.ID}
 	s.done()
 }
 
--- a/core/relay/session.go
+++ b/core/relay/session.go
@@ -67,7 +67,7 @@
 
 // prepared is a statement that the caller has prepared.
 type prepared struct {
-	shape statement.Shape
+	shape statement.Definition
 	name  string
 	id    statement.ID
 }
@@ -128,7 +128,7 @@
 	if !ok {
 		return statement.CodeNoDatabase, "no such database"
 	}
-	account, known := c.Owner(s.key)
+	account, known := c.AccountOf(s.key)
 	if !known && !route.Public {
 		return statement.CodeNoAccount, "no account has this key"
 	}
@@ -146,7 +146,7 @@
 		return
 	}
 	c := s.r.catalog
-	if a, ok := c.Owner(s.key); ok && a == s.account {
+	if a, ok := c.AccountOf(s.key); ok && a == s.account {
 		return
 	}
 	if s.account == "" && s.route.Public {
--- a/core/relay/world_test.go
+++ b/core/relay/world_test.go
@@ -187,7 +187,7 @@
 func (w *world) dial(c *relay.Conn) {
 	n := w.instances[c.Instance]
 	n.dialled++
-	l := &link{node: n, conn: c, state: statement.TxNone, values: map[string]string{}, names: map[string]statement.Shape{}}
+	l := &link{node: n, conn: c, state: statement.TxNone, values: map[string]string{}, names: map[string]statement.Definition{}}
 	c.Send = func(qs []statement.Statement) {
 		for _, q := range qs {
 			w.receive(l, q)
@@ -260,7 +260,7 @@
 	q := statement.Statement{ID: id, Kind: k, Name: name, Text: text, Value: text}
 	if k == statement.KindPrepare {
 		q.Value, q.Text = "", ""
-		q.Shape = statement.Shape{Writes: strings.HasPrefix(text, "w"), Text: text}
+		q.Definition = statement.Definition{Writes: strings.HasPrefix(text, "w"), Text: text}
 	}
 	c.s.Query(q)
 	c.w.deliver()
--- a/core/statement/statement.go
+++ b/core/statement/statement.go
@@ -36,8 +36,8 @@
 	KindStepDown Kind = "step-down"
 )
 
-// Shape is what a prepared statement does: two with equal shapes are the same.
-type Shape struct {
+// Definition is what a prepared statement does: two with equal shapes are the same.
+type Definition struct {
 	Writes bool
 	Text   string
 }
@@ -50,8 +50,8 @@
 	Name string
 	// Value is the new value of a KindSet.
 	Value string
-	// Shape is that of a KindPrepare.
-	Shape Shape
+	// Definition is that of a KindPrepare.
+	Definition Definition
 	// Text is what follows the kind of a read or write, or the name of an execute,
 	// as the caller sent it.
 	Text string
--- a/internal/edit/edit.go
+++ b/internal/edit/edit.go
@@ -125,7 +125,7 @@
 	if v.Revision == 0 {
 		return Stored{Service: s}
 	}
-	stamp, text := document.Unseal(v.Value)
+	stamp, text := document.SplitStamp(v.Value)
 	return Stored{
 		Service: s, Version: document.VersionAt(v.Value, uint64(v.Revision)), Revision: v.Revision,
 		Stamp: stamp, Text: text,
--- a/internal/edit/edit_test.go
+++ b/internal/edit/edit_test.go
@@ -90,7 +90,7 @@
 	for _, p := range s.Also {
 		m.entries[p.Key] = etcd.Entry{Key: p.Key, Value: p.Value, Revision: m.revision}
 	}
-	stamp, _ := document.Unseal(s.Value)
+	stamp, _ := document.SplitStamp(s.Value)
 	m.took = append(m.took, stamp.Edit)
 	return m.revision, nil
 }
--- a/internal/edit/write.go
+++ b/internal/edit/write.go
@@ -21,7 +21,7 @@
 }
 
 func (w *writing) swapAt(expect etcd.Revision) etcd.Swap {
-	v := document.Seal(w.stamp, w.text)
+	v := document.AddStamp(w.stamp, w.text)
 	return etcd.Swap{
 		Key: document.StoreKey(w.e.Root, w.service), Value: v, Expect: expect,
 		Also: []etcd.Pair{{Key: historyKey(w.e.Root, w.service, w.stamp.Seq), Value: v}},
--- a/io/forward/forward.go
+++ b/io/forward/forward.go
@@ -106,7 +106,7 @@
 	for _, q := range f.Statements {
 		m.Statements = append(m.Statements, &forwardpb.Statement{
 			Id: string(q.ID), Kind: string(q.Kind), Name: q.Name, Value: q.Value,
-			Writes: q.Shape.Writes, Shape: q.Shape.Text, Text: q.Text, After: toPoint(q.After),
+			Writes: q.Definition.Writes, Shape: q.Definition.Text, Text: q.Text, After: toPoint(q.After),
 			Term: uint64(q.Term),
 		})
 	}
@@ -123,7 +123,7 @@
 	for _, q := range m.GetStatements() {
 		f.Statements = append(f.Statements, statement.Statement{
 			ID: statement.ID(q.GetId()), Kind: statement.Kind(q.GetKind()), Name: q.GetName(), Value: q.GetValue(),
-			Shape: statement.Shape{Writes: q.GetWrites(), Text: q.GetShape()}, Text: q.GetText(),
+			Definition: statement.Definition{Writes: q.GetWrites(), Text: q.GetShape()}, Text: q.GetText(),
 			After: fromPoint(q.GetAfter()), Term: fleet.Term(q.GetTerm()),
 		})
 	}
--- a/io/forward/forward_test.go
+++ b/io/forward/forward_test.go
@@ -40,7 +40,7 @@
 		Left: 800 * time.Millisecond, Wait: 200 * time.Millisecond,
 		Statements: []statement.Statement{
 			{ID: "a", Kind: statement.KindSet, Name: "v0", Value: "x y"},
-			{Kind: statement.KindPrepare, Name: "p", Shape: statement.Shape{Writes: true, Text: "q2c"}},
+			{Kind: statement.KindPrepare, Name: "p", Definition: statement.Definition{Writes: true, Text: "q2c"}},
 			{
 				ID: "b", Kind: statement.KindExecute, Name: "p", Text: "1a4 data",
 				After: fleet.Some(fleet.LogPosition{Term: 3, Index: 9}),
--- a/io/spread/digest.go
+++ b/io/spread/digest.go
@@ -208,10 +208,10 @@
 	if !r.GetFull() {
 		return a
 	}
-	other := map[fleet.Service]document.Known{}
+	other := map[fleet.Service]document.KnownVersions{}
 	for _, d := range r.GetDocuments() {
 		v := document.Version(d.GetVersion())
-		other[fleet.Service(d.GetService())] = document.Known{Version: v, Seen: max(v, document.Version(d.GetSeen()))}
+		other[fleet.Service(d.GetService())] = document.KnownVersions{Version: v, Seen: max(v, document.Version(d.GetSeen()))}
 	}
 	offers, wanted := s.table.Missing(other)
 	a.Documents = toWire(offers[:fit(offers)])
--- a/io/spread/spread.go
+++ b/io/spread/spread.go
@@ -96,7 +96,7 @@
 	watching  atomic.Bool
 
 	mu       sync.Mutex
-	table    document.Table
+	table    document.Documents
 	sum      uint64
 	problem  string
 	conflict map[fleet.Service]bool
@@ -212,7 +212,7 @@
 		}
 	}
 	if len(news) > 0 {
-		s.sum = s.table.Sum()
+		s.sum = s.table.Digest()
 	}
 	return news, current
 }
--- a/io/spread/spread_test.go
+++ b/io/spread/spread_test.go
@@ -188,7 +188,7 @@
 	for _, h := range hosts {
 		c.Assert(h.version("a"), qt.Equals, v)
 	}
-	sealed := document.Seal(document.Stamp{Base: uint64(v)}, text("a", 7))
+	sealed := document.AddStamp(document.Stamp{Base: uint64(v)}, text("a", 7))
 	putText(c, s, "a", sealed)
 	inEffect(c, hosts, "a", document.VersionAt(sealed, uint64(s.Revision())))
 	d, _ := hosts[3].Get("a")
