--- a/core/ways/fleet_test.go
+++ b/core/pathcost/fleet_test.go
@@ -1,11 +1,11 @@
-package ways_test
+package pathcost_test
 
 import (
 	"container/heap"
 	"math/rand/v2"
 	"time"
 
-	"skylarkdeal/core/ways"
+	"skylarkdeal/core/pathcost"
 )
 
 // span is a stretch of a play.
@@ -124,7 +124,7 @@
 func (p *play) place(e *entry) {
 	best, least := 0, time.Duration(-1)
 	for n, i := range p.instances {
-		w := ways.Path{
+		w := pathcost.Path{
 			Latency: e.took[n], Running: e.ahead[n], Slots: i.slots, Remote: i.centre != e.centre, PrimaryRead: i.leads,
 		}
 		if p.now-e.at[n] > known {
--- a/core/ways/ways.go
+++ b/core/pathcost/pathcost.go
@@ -1,9 +1,9 @@
-// Package ways compares the ways in which an operation can reach an instance: by the time that
+// Package pathcost compares the ways in which an operation can reach an instance: by the time that
 // each makes its caller wait, and by what a caller doesn't feel but the fleet does.
 //
 // It decides for many callers in several data centres before a few instances, each with some
 // slots: one of them may be slow, full, far away, or the only one that can take writes.
-package ways
+package pathcost
 
 import "time"
 
--- a/core/ways/ways_test.go
+++ b/core/pathcost/pathcost_test.go
@@ -1,4 +1,4 @@
-package ways_test
+package pathcost_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"skylarkdeal/core/ways"
+	"skylarkdeal/core/pathcost"
 )
 
 const (
@@ -135,7 +135,7 @@
 // The primary takes what writes, so a read goes there only where a replica makes its caller wait.
 func TestReadsLeaveThePrimaryAlone(t *testing.T) {
 	c := qt.New(t)
-	primary, replica := ways.Path{Slots: 3, PrimaryRead: true}, ways.Path{Slots: 3}
+	primary, replica := pathcost.Path{Slots: 3, PrimaryRead: true}, pathcost.Path{Slots: 3}
 	c.Assert(replica.Cost(target) < primary.Cost(target), qt.IsTrue)
 	replica.Latency, replica.Running = 100*time.Millisecond, 3
 	c.Assert(primary.Cost(target) < replica.Cost(target), qt.IsTrue)
--- a/core/relay/place.go
+++ b/core/relay/place.go
@@ -6,7 +6,7 @@
 	"skylarkdeal/core/admit"
 	"skylarkdeal/core/catalog"
 	"skylarkdeal/core/fresh"
-	"skylarkdeal/core/ways"
+	"skylarkdeal/core/pathcost"
 )
 
 // needs returns the point that a read has to cover on a replica, with what it was taken from,
@@ -145,7 +145,7 @@
 func (g *group) way(now time.Time, i *instance, o *operation) (way, bool) {
 	w := way{inst: i}
 	leads := g.leads(i.info.Name)
-	about := ways.Path{
+	about := pathcost.Path{
 		Latency: i.work, Running: i.busy(), Slots: i.info.Slots, Remote: !i.local(), PrimaryRead: !o.lead && leads,
 		Silent: !g.r.reaches(now, i), Cold: !o.lead && i.isCold(now),
 	}
