--- a/core/relay/group.go
+++ b/core/relay/group.go
@@ -7,8 +7,8 @@
 	"skylarkdeal/core/admit"
 	"skylarkdeal/core/catalog"
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/core/fresh"
 	"skylarkdeal/core/leader"
+	"skylarkdeal/core/staleness"
 	"skylarkdeal/core/statement"
 )
 
@@ -22,7 +22,7 @@
 	instances map[fleet.Instance]*instance
 	belief    leader.PrimaryState
 	proofs    leader.PendingAnswers
-	samples   fresh.Samples
+	samples   staleness.Samples
 
 	queue   admit.Queue
 	waiting map[uint64]*operation
@@ -47,7 +47,7 @@
 	// sampledAt is when the last point of the primary was taken in.
 	sampledAt time.Time
 	// unsure is a point of the primary that waits to be proved, as the store can't prove it.
-	unsure fresh.Sample
+	unsure staleness.Sample
 	// verifiedAt is when the primary was last asked whether it is one.
 	verifiedAt time.Time
 	// ableAt is when the primary could last answer.
--- a/core/relay/operation.go
+++ b/core/relay/operation.go
@@ -7,7 +7,7 @@
 	"skylarkdeal/core/catalog"
 	"skylarkdeal/core/exchange"
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/core/fresh"
+	"skylarkdeal/core/staleness"
 	"skylarkdeal/core/statement"
 )
 
@@ -280,9 +280,9 @@
 
 // need is the point that the instance's log has to cover, for a read on a replica, and whether
 // there is one.
-func (o *operation) need() (fresh.Sample, bool) {
+func (o *operation) need() (staleness.Sample, bool) {
 	if o.unbound() {
-		return fresh.Sample{}, false
+		return staleness.Sample{}, false
 	}
 	return o.g.needs(o)
 }
--- a/core/relay/outlook.go
+++ b/core/relay/outlook.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"skylarkdeal/core/fresh"
+	"skylarkdeal/core/staleness"
 )
 
 // able says why the group's primary can't answer now; nothing if it can. An answer that
@@ -107,7 +107,7 @@
 }
 
 // readable reports whether any instance but the primary can be reached for a read that needs s.
-func (g *group) readable(now time.Time, o *operation, s fresh.Sample) bool {
+func (g *group) readable(now time.Time, o *operation, s staleness.Sample) bool {
 	for _, i := range g.instances {
 		if i.usable() && i.joined(s) && !g.leads(i.info.Name) && g.r.reaches(now, i) && !o.avoid.Has(i.info.Name) {
 			return true
--- a/core/relay/place.go
+++ b/core/relay/place.go
@@ -5,16 +5,16 @@
 
 	"skylarkdeal/core/admit"
 	"skylarkdeal/core/catalog"
-	"skylarkdeal/core/fresh"
 	"skylarkdeal/core/pathcost"
+	"skylarkdeal/core/staleness"
 )
 
 // needs returns the point that a read has to cover on a replica, with what it was taken from,
 // and whether it is known.
-func (g *group) needs(o *operation) (fresh.Sample, bool) {
+func (g *group) needs(o *operation) (staleness.Sample, bool) {
 	s, ok := g.samples.Oldest(o.age)
 	if !ok {
-		return fresh.Sample{}, false
+		return staleness.Sample{}, false
 	}
 	if o.route.Consistency == catalog.ConsistencySession && !s.Position.Covers(o.s.written) {
 		s.Position = o.s.written
--- a/core/relay/prove.go
+++ b/core/relay/prove.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/core/fresh"
 	"skylarkdeal/core/leader"
+	"skylarkdeal/core/staleness"
 	"skylarkdeal/core/statement"
 )
 
@@ -28,7 +28,7 @@
 	if asked.Before(g.settledAt) {
 		return
 	}
-	s := fresh.Sample{Position: p, AskedAt: asked, PrimaryTerm: t}
+	s := staleness.Sample{Position: p, AskedAt: asked, PrimaryTerm: t}
 	switch {
 	case g.r.lease.RecordsCurrent(now):
 		g.sampled(c.Instance, s)
@@ -54,9 +54,9 @@
 	p, t, ok := g.belief.Primary()
 	switch {
 	case !ok || t != s.PrimaryTerm || now.Sub(s.AskedAt) > unsureFor:
-		g.unsure = fresh.Sample{}
+		g.unsure = staleness.Sample{}
 	case !g.sole().Before(s.AskedAt):
-		g.unsure = fresh.Sample{}
+		g.unsure = staleness.Sample{}
 		g.sampled(p, s)
 	default:
 		g.doubt = later(g.doubt, s.AskedAt)
@@ -65,7 +65,7 @@
 }
 
 // sampled takes in a point of the primary.
-func (g *group) sampled(i fleet.Instance, s fresh.Sample) {
+func (g *group) sampled(i fleet.Instance, s staleness.Sample) {
 	g.samples.Add(s)
 	if g.changing(g.r.now()) && g.sampledAt.Before(g.changedAt) {
 		g.r.note(Event{
@@ -220,7 +220,7 @@
 		return
 	}
 	if p, ok := o.answer.Position.Get(); ok && !o.sentAt.Before(g.settledAt) {
-		g.sampled(c.Instance, fresh.Sample{Position: p, AskedAt: o.sentAt, PrimaryTerm: c.Term})
+		g.sampled(c.Instance, staleness.Sample{Position: p, AskedAt: o.sentAt, PrimaryTerm: c.Term})
 	}
 	g.confirmed(o, *o.answer)
 }
--- a/core/relay/reign.go
+++ b/core/relay/reign.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/core/fresh"
+	"skylarkdeal/core/staleness"
 )
 
 // sole returns the moment up to which the instance that is used as the primary is known to
@@ -101,7 +101,7 @@
 // term. A replica that hasn't heard of the change covers that point by the former primary's
 // history, whatever either of them lacks of the other's. A point of the new term is in no other
 // history; for one of before, the replica has to have said itself that it is in the new term.
-func (i *instance) joined(s fresh.Sample) bool {
+func (i *instance) joined(s staleness.Sample) bool {
 	return s.Position.Term >= s.PrimaryTerm || i.term >= s.PrimaryTerm
 }
 
--- a/core/fresh/fresh.go
+++ b/core/staleness/staleness.go
@@ -1,6 +1,6 @@
-// Package fresh tells which point of a group's log a read has to cover to be no older
+// Package staleness tells which point of a group's log a read has to cover to be no older
 // than its caller accepts.
-package fresh
+package staleness
 
 import (
 	"time"
--- a/core/fresh/fresh_test.go
+++ b/core/staleness/staleness_test.go
@@ -1,4 +1,4 @@
-package fresh_test
+package staleness_test
 
 import (
 	"fmt"
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/core/fresh"
+	"skylarkdeal/core/staleness"
 )
 
 func ExampleSamples() {
-	var s fresh.Samples
+	var s staleness.Samples
 	now := time.Unix(1000, 0)
-	s.Add(fresh.Sample{Position: fleet.LogPosition{Term: 1, Index: 7}, AskedAt: now.Add(-2 * time.Second)})
-	s.Add(fresh.Sample{Position: fleet.LogPosition{Term: 1, Index: 9}, AskedAt: now.Add(-time.Second)})
+	s.Add(staleness.Sample{Position: fleet.LogPosition{Term: 1, Index: 7}, AskedAt: now.Add(-2 * time.Second)})
+	s.Add(staleness.Sample{Position: fleet.LogPosition{Term: 1, Index: 9}, AskedAt: now.Add(-time.Second)})
 	n, ok := s.Oldest(now.Add(-1500 * time.Millisecond))
 	fmt.Println(n.Position, ok)
 	// Output: 1.9 true
@@ -26,11 +26,11 @@
 // earlier than the read allows, and covers what was known at its moment.
 func TestOldestIsWithinTheAge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s fresh.Samples
+		var s staleness.Samples
 		base := time.Unix(1000, 0)
 		for _, ms := range rapid.SliceOfN(rapid.IntRange(0, 10_000), 0, 300).Draw(t, "asked") {
 			// The log at a moment is as long as the moment is late.
-			s.Add(fresh.Sample{
+			s.Add(staleness.Sample{
 				Position: fleet.LogPosition{Term: 1, Index: fleet.LogIndex(ms)}, AskedAt: base.Add(time.Duration(ms) * time.Millisecond),
 			})
 		}
@@ -44,12 +44,12 @@
 
 func TestNewest(t *testing.T) {
 	c := qt.New(t)
-	var s fresh.Samples
+	var s staleness.Samples
 	_, ok := s.Newest()
 	c.Assert(ok, qt.IsFalse)
 	at := time.Unix(1000, 0)
 	for n := range 500 {
-		s.Add(fresh.Sample{
+		s.Add(staleness.Sample{
 			Position: fleet.LogPosition{Term: 1, Index: fleet.LogIndex(n)}, AskedAt: at.Add(time.Duration(n) * time.Second),
 		})
 	}
