--- a/core/share/account.go
+++ b/core/ratelimit/account.go
@@ -1,4 +1,4 @@
-package share
+package ratelimit
 
 import (
 	"math"
--- a/core/share/fleet_test.go
+++ b/core/ratelimit/fleet_test.go
@@ -1,4 +1,4 @@
-package share_test
+package ratelimit_test
 
 import (
 	"fmt"
@@ -8,13 +8,13 @@
 	"skylarkdeal/core/catalog"
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/mesh"
-	"skylarkdeal/core/share"
+	"skylarkdeal/core/ratelimit"
 )
 
 // fleetOf is some hosts that report to each other, with the operations that they admitted.
 type fleetOf struct {
 	now      time.Time
-	hosts    []*share.Limiter
+	hosts    []*ratelimit.Limiter
 	seq      uint64
 	epochs   map[int]uint64
 	admitted []time.Time
@@ -26,7 +26,7 @@
 func newFleet(n int) *fleetOf {
 	f := &fleetOf{now: time.Unix(1000, 0), epochs: map[int]uint64{}, cut: func(int, int) bool { return false }}
 	for i := range n {
-		h := &share.Limiter{}
+		h := &ratelimit.Limiter{}
 		var others []fleet.Host
 		for o := range n {
 			if o != i {
@@ -41,7 +41,7 @@
 
 // restart replaces the process of one host.
 func (f *fleetOf) restart(n int) {
-	h := &share.Limiter{}
+	h := &ratelimit.Limiter{}
 	var others []fleet.Host
 	for o := range f.hosts {
 		if o != n {
--- a/core/share/share.go
+++ b/core/ratelimit/ratelimit.go
@@ -1,4 +1,4 @@
-// Package share keeps each client account within its rate and burst over the whole
+// Package ratelimit keeps each client account within its rate and burst over the whole
 // fleet, without a call for each operation: hosts tell each other several times a
 // second what they have admitted and how much is asked for.
 //
@@ -9,7 +9,7 @@
 // callers are spread unevenly and, of a small account, thinly, so that a part of the rate for
 // each host would be left unused on most. While some hosts can't be heard, those that hear
 // each other share the part of the rate that was asked of them before.
-package share
+package ratelimit
 
 import (
 	"math/rand/v2"
--- a/core/share/share_test.go
+++ b/core/ratelimit/ratelimit_test.go
@@ -1,4 +1,4 @@
-package share_test
+package ratelimit_test
 
 import (
 	"math"
@@ -9,7 +9,7 @@
 
 	"skylarkdeal/core/catalog"
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/core/share"
+	"skylarkdeal/core/ratelimit"
 )
 
 // A hotel chain sends eight times its usual, unevenly over the hosts. It gets its rate,
@@ -183,7 +183,7 @@
 	c := qt.New(t)
 	total := 0
 	for range 6 {
-		var h share.Limiter
+		var h ratelimit.Limiter
 		for range 200 {
 			if _, ok := h.Admit(time.Unix(1000, 0), hotel); ok {
 				total++
@@ -224,9 +224,9 @@
 	h := f.hosts[0]
 	_, _ = h.Admit(now, hotel)
 	now = now.Add(2 * time.Second)
-	h.AddReport(now, "h1", 1, 5, []share.Usage{{Account: "hotel", Admitted: 10, Demand: 10}})
+	h.AddReport(now, "h1", 1, 5, []ratelimit.Usage{{Account: "hotel", Admitted: 10, Demand: 10}})
 	before := h.Usage(now, true)
-	h.AddReport(now, "h1", 1, 4, []share.Usage{{Account: "hotel", Admitted: 1e6, Demand: math.MaxFloat32}})
+	h.AddReport(now, "h1", 1, 4, []ratelimit.Usage{{Account: "hotel", Admitted: 1e6, Demand: math.MaxFloat32}})
 	c.Assert(h.Usage(now, true), qt.DeepEquals, before)
 	_, ok := h.Admit(now, hotel)
 	c.Assert(ok, qt.IsTrue)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -16,9 +16,9 @@
 	"skylarkdeal/core/catalog"
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/leader"
+	"skylarkdeal/core/ratelimit"
 	"skylarkdeal/core/relay"
 	"skylarkdeal/core/settings"
-	"skylarkdeal/core/share"
 	"skylarkdeal/internal/clock"
 	"skylarkdeal/internal/pause"
 	"skylarkdeal/io/gossip"
@@ -61,7 +61,7 @@
 	events   events
 	gossip   *gossip.Gossip
 	peers    peers
-	rates    share.Limiter
+	rates    ratelimit.Limiter
 	// links are to the hosts that were heard, looked after at tended.
 	links  map[fleet.Host]*link
 	tended time.Time
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -14,7 +14,7 @@
 
 	"skylarkdeal/core/failure"
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/core/share"
+	"skylarkdeal/core/ratelimit"
 	"skylarkdeal/io/gossip/gossippb"
 )
 
@@ -37,7 +37,7 @@
 	Capacity   fleet.Capacity
 	// IsReader is set while the host reads the store, StoreUnreachable while it can't reach it.
 	IsReader, StoreUnreachable bool
-	Usages                     []share.Usage
+	Usages                     []ratelimit.Usage
 	Unreachable                []UnreachableInstance
 	// Reachable are the instances that the host can reach although another can't.
 	Reachable []fleet.Instance
@@ -207,7 +207,7 @@
 		Instances:  m.GetInstances(), InstancesAge: time.Duration(m.GetInstancesAgeMs()) * time.Millisecond,
 	}
 	for _, u := range m.GetUsages() {
-		r.Usages = append(r.Usages, share.Usage{
+		r.Usages = append(r.Usages, ratelimit.Usage{
 			Account: fleet.Account(u.GetAccount()), Admitted: u.GetAdmitted(), Demand: float64(u.GetDemand()),
 		})
 	}
--- a/io/gossip/gossip_test.go
+++ b/io/gossip/gossip_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/core/share"
+	"skylarkdeal/core/ratelimit"
 	"skylarkdeal/io/gossip"
 )
 
@@ -33,7 +33,7 @@
 	want := gossip.Report{
 		Host: "h1", Address: "10.0.0.1:7560", DataCentre: "obihiro", Capacity: 0.12,
 		Epoch: 3, Seq: 9, Leaving: true, IsReader: true, StoreUnreachable: true,
-		Usages:      []share.Usage{{Account: "hotel", Admitted: 4, Demand: 2.5}},
+		Usages:      []ratelimit.Usage{{Account: "hotel", Admitted: 4, Demand: 2.5}},
 		Unreachable: []gossip.UnreachableInstance{{Instance: "i-1", Silent: 400 * time.Millisecond}},
 		Reachable:   []fleet.Instance{"i-2"}, Catalog: 7, Record: 8, CatalogAge: time.Second,
 		Instances: 1 << 63, InstancesAge: 2 * time.Second,
