--- a/core/allot/guard_test.go
+++ b/core/quota/guard_test.go
@@ -1,4 +1,4 @@
-package allot_test
+package quota_test
 
 import (
 	"testing"
@@ -6,16 +6,16 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"skylarkdeal/core/allot"
+	"skylarkdeal/core/quota"
 )
 
 const dc = "obihiro"
 
 // filled returns a home whose bucket has had time to fill.
-func filled(s allot.Share) (*allot.Home, time.Time) {
-	h := &allot.Home{}
+func filled(s quota.Share) (*quota.Home, time.Time) {
+	h := &quota.Home{}
 	h.Start(epoch, 1, s, 0, 0)
-	return h, epoch.Add(allot.GrantCountedFor + time.Hour)
+	return h, epoch.Add(quota.GrantCountedFor + time.Hour)
 }
 
 // A host is replaced in the middle of a rush. The new home knows nothing of what
@@ -23,78 +23,78 @@
 // those grants expired, the customer would get its burst twice.
 func TestNewHomeStartsEmptyAndLate(t *testing.T) {
 	c := qt.New(t)
-	h := &allot.Home{}
-	h.Start(epoch, 1, allot.Share{Rate: 10, Burst: 50}, 0, 0)
-	c.Assert(h.Ask(epoch.Add(allot.GrantCountedFor), allot.Ask{Urgent: 1}).Tokens, qt.Equals, allot.Tokens(0))
-	c.Assert(h.Ask(epoch.Add(allot.GrantCountedFor+150*time.Millisecond), allot.Ask{Urgent: 5}).Tokens, qt.Equals, allot.Tokens(1))
+	h := &quota.Home{}
+	h.Start(epoch, 1, quota.Share{Rate: 10, Burst: 50}, 0, 0)
+	c.Assert(h.Ask(epoch.Add(quota.GrantCountedFor), quota.Ask{Urgent: 1}).Tokens, qt.Equals, quota.Tokens(0))
+	c.Assert(h.Ask(epoch.Add(quota.GrantCountedFor+150*time.Millisecond), quota.Ask{Urgent: 5}).Tokens, qt.Equals, quota.Tokens(1))
 }
 
 // A spender's clock is slow. By its own count a grant has some time left when
 // the home's clock says that it has expired, so the home counts it for longer.
 func TestHomeCountsGrantsOfSlowClocks(t *testing.T) {
 	c := qt.New(t)
-	h, now := filled(allot.Share{Rate: 1000, Burst: 10})
-	c.Assert(h.Ask(now, allot.Ask{Urgent: 10}).Tokens, qt.Equals, allot.Tokens(10))
-	slow := now.Add(allot.GrantLifetime + allot.GrantLifetime/5)
-	c.Assert(h.Ask(slow, allot.Ask{Urgent: 10}).Tokens, qt.Equals, allot.Tokens(0))
-	c.Assert(h.Ask(now.Add(2*allot.GrantCountedFor), allot.Ask{Urgent: 10}).Tokens, qt.Equals, allot.Tokens(10))
+	h, now := filled(quota.Share{Rate: 1000, Burst: 10})
+	c.Assert(h.Ask(now, quota.Ask{Urgent: 10}).Tokens, qt.Equals, quota.Tokens(10))
+	slow := now.Add(quota.GrantLifetime + quota.GrantLifetime/5)
+	c.Assert(h.Ask(slow, quota.Ask{Urgent: 10}).Tokens, qt.Equals, quota.Tokens(0))
+	c.Assert(h.Ask(now.Add(2*quota.GrantCountedFor), quota.Ask{Urgent: 10}).Tokens, qt.Equals, quota.Tokens(10))
 }
 
 // A host is paused with tokens in hand and wakes when the home has long granted
 // them to others. They must be gone before the first exchange is let through.
 func TestPausedSpenderWakesEmpty(t *testing.T) {
 	c := qt.New(t)
-	s := allot.Spender{Own: dc}
-	a := allot.Ask{Urgent: 5}
+	s := quota.Spender{Own: dc}
+	a := quota.Ask{Urgent: 5}
 	answered := epoch.Add(50 * time.Millisecond)
-	s.Granted(answered, epoch, dc, a, allot.Grant{ID: 1, Tokens: 5})
-	c.Assert(s.Take(epoch.Add(allot.GrantLifetime-1), 1), qt.IsTrue)
-	c.Assert(s.Take(epoch.Add(allot.GrantLifetime), 1), qt.IsFalse)
-	c.Assert(s.TakeAny(epoch.Add(allot.GrantLifetime), 1), qt.IsFalse)
+	s.Granted(answered, epoch, dc, a, quota.Grant{ID: 1, Tokens: 5})
+	c.Assert(s.Take(epoch.Add(quota.GrantLifetime-1), 1), qt.IsTrue)
+	c.Assert(s.Take(epoch.Add(quota.GrantLifetime), 1), qt.IsFalse)
+	c.Assert(s.TakeAny(epoch.Add(quota.GrantLifetime), 1), qt.IsFalse)
 }
 
 // Two reports of one grant overtake each other on the way.
 func TestOldReportRaisesNothing(t *testing.T) {
 	c := qt.New(t)
-	h, now := filled(allot.Share{Rate: 0.001, Burst: 10})
-	g := h.Ask(now, allot.Ask{Urgent: 10})
-	h.Ask(now, allot.Ask{Reports: []allot.Report{{Grant: g.ID, Left: 3}}})
-	h.Ask(now, allot.Ask{Reports: []allot.Report{{Grant: g.ID, Left: 8}}})
-	c.Assert(h.State().Outstanding, qt.Equals, allot.Tokens(3))
-	h.Ask(now, allot.Ask{Reports: []allot.Report{{Grant: g.ID, Left: 9, Closed: true}}})
-	c.Assert(h.Ask(now, allot.Ask{Urgent: 10}).Tokens, qt.Equals, allot.Tokens(3))
+	h, now := filled(quota.Share{Rate: 0.001, Burst: 10})
+	g := h.Ask(now, quota.Ask{Urgent: 10})
+	h.Ask(now, quota.Ask{Reports: []quota.Report{{Grant: g.ID, Left: 3}}})
+	h.Ask(now, quota.Ask{Reports: []quota.Report{{Grant: g.ID, Left: 8}}})
+	c.Assert(h.State().Outstanding, qt.Equals, quota.Tokens(3))
+	h.Ask(now, quota.Ask{Reports: []quota.Report{{Grant: g.ID, Left: 9, Closed: true}}})
+	c.Assert(h.Ask(now, quota.Ask{Urgent: 10}).Tokens, qt.Equals, quota.Tokens(3))
 }
 
 func TestOlderDocumentChangesNothing(t *testing.T) {
-	h, now := filled(allot.Share{Rate: 10, Burst: 10})
-	h.SetShare(now, 3, allot.Share{Rate: 1, Burst: 2}, true)
-	h.SetShare(now, 2, allot.Share{Rate: 10, Burst: 10}, true)
+	h, now := filled(quota.Share{Rate: 10, Burst: 10})
+	h.SetShare(now, 3, quota.Share{Rate: 1, Burst: 2}, true)
+	h.SetShare(now, 2, quota.Share{Rate: 10, Burst: 10}, true)
 	now = now.Add(time.Minute)
-	qt.Assert(t, h.Ask(now, allot.Ask{Urgent: 10}).Tokens, qt.Equals, allot.Tokens(2))
+	qt.Assert(t, h.Ask(now, quota.Ask{Urgent: 10}).Tokens, qt.Equals, quota.Tokens(2))
 }
 
 // A data centre is taken off the list. The others' shares grow, but that data
 // centre may not have heard of it yet and still spends its own.
 func TestGainFromAShorterListWaits(t *testing.T) {
 	c := qt.New(t)
-	h, now := filled(allot.Share{Rate: 10, Burst: 10})
-	h.SetShare(now, 2, allot.Share{Rate: 15, Burst: 15}, false)
-	now = now.Add(allot.ShareIncreaseDelay - 1)
-	c.Assert(h.Ask(now, allot.Ask{Urgent: 20}).Tokens, qt.Equals, allot.Tokens(10))
-	now = now.Add(allot.ShareIncreaseDelay)
-	c.Assert(h.Ask(now, allot.Ask{Urgent: 20}).Tokens, qt.Equals, allot.Tokens(15))
+	h, now := filled(quota.Share{Rate: 10, Burst: 10})
+	h.SetShare(now, 2, quota.Share{Rate: 15, Burst: 15}, false)
+	now = now.Add(quota.ShareIncreaseDelay - 1)
+	c.Assert(h.Ask(now, quota.Ask{Urgent: 20}).Tokens, qt.Equals, quota.Tokens(10))
+	now = now.Add(quota.ShareIncreaseDelay)
+	c.Assert(h.Ask(now, quota.Ask{Urgent: 20}).Tokens, qt.Equals, quota.Tokens(15))
 }
 
 var (
-	holder  = allot.Process{Host: "o1", Epoch: 1}
-	witness = allot.Process{Host: "o2", Epoch: 7}
-	next    = allot.Process{Host: "o3", Epoch: 1}
-	record  = allot.OwnershipRecord{Holder: holder, Lease: 11, Witness: witness, Tenure: 4}
+	holder  = quota.Process{Host: "o1", Epoch: 1}
+	witness = quota.Process{Host: "o2", Epoch: 7}
+	next    = quota.Process{Host: "o3", Epoch: 1}
+	record  = quota.OwnershipRecord{Holder: holder, Lease: 11, Witness: witness, Tenure: 4}
 )
 
 // held returns a seat whose lease ends a second after epoch.
-func held() *allot.Ownership {
-	s := &allot.Ownership{}
+func held() *quota.Ownership {
+	s := &quota.Ownership{}
 	s.Acquired(record)
 	s.LeaseRenewed(11, epoch.Add(time.Second))
 	return s
@@ -117,9 +117,9 @@
 	s := held()
 	at := epoch.Add(time.Minute)
 	s.Consented(at, witness, 4)
-	c.Assert(s.CanGrant(at.Add(allot.ConsentLifetime-1)), qt.IsTrue)
-	c.Assert(s.CanGrant(at.Add(allot.ConsentLifetime)), qt.IsFalse)
-	end := epoch.Add(time.Second + allot.MaxTenureWithoutStore)
+	c.Assert(s.CanGrant(at.Add(quota.ConsentLifetime-1)), qt.IsTrue)
+	c.Assert(s.CanGrant(at.Add(quota.ConsentLifetime)), qt.IsFalse)
+	end := epoch.Add(time.Second + quota.MaxTenureWithoutStore)
 	s.Consented(end, witness, 4)
 	c.Assert(s.CanGrant(end), qt.IsFalse)
 }
@@ -130,7 +130,7 @@
 	c := qt.New(t)
 	at := epoch.Add(time.Minute)
 	s := held()
-	s.Consented(at, allot.Process{Host: "o2", Epoch: 8}, 4)
+	s.Consented(at, quota.Process{Host: "o2", Epoch: 8}, 4)
 	c.Assert(s.CanGrant(at), qt.IsFalse)
 	s.Consented(at, witness, 3)
 	c.Assert(s.CanGrant(at), qt.IsFalse)
@@ -144,42 +144,42 @@
 // withdrawn and has ended.
 func TestSuccessorWaitsForConsentToEnd(t *testing.T) {
 	c := qt.New(t)
-	w := allot.Witness{Since: epoch.Add(-time.Hour)}
+	w := quota.Witness{Since: epoch.Add(-time.Hour)}
 	c.Assert(w.Consent(epoch, dc, 4), qt.IsTrue)
-	var n allot.Claim
-	c.Assert(n.Next(epoch, next, 21, record, true), qt.Equals, allot.StepIdle)
-	c.Assert(n.Next(epoch, next, 21, record, false), qt.Equals, allot.StepWithdraw)
+	var n quota.Claim
+	c.Assert(n.Next(epoch, next, 21, record, true), qt.Equals, quota.StepIdle)
+	c.Assert(n.Next(epoch, next, 21, record, false), qt.Equals, quota.StepWithdraw)
 	d := w.Withdraw(epoch, dc, 4)
-	c.Assert(d > allot.ConsentLifetime, qt.IsTrue)
+	c.Assert(d > quota.ConsentLifetime, qt.IsTrue)
 	c.Assert(w.Consent(epoch, dc, 4), qt.IsFalse)
 	n.Withdrawn(epoch, record, d)
-	c.Assert(n.Next(epoch.Add(d-1), next, 21, record, false), qt.Equals, allot.StepWait)
-	c.Assert(n.Next(epoch.Add(d), next, 21, record, false), qt.Equals, allot.StepSwap)
+	c.Assert(n.Next(epoch.Add(d-1), next, 21, record, false), qt.Equals, quota.StepWait)
+	c.Assert(n.Next(epoch.Add(d), next, 21, record, false), qt.Equals, quota.StepSwap)
 	c.Assert(w.Consent(epoch.Add(d), dc, 5), qt.IsTrue, qt.Commentf("the next tenure has its own"))
 }
 
 // A witness that has just restarted may have consented shortly before.
 func TestRestartedWitnessCountsItsFormerConsent(t *testing.T) {
-	w := allot.Witness{Since: epoch}
-	qt.Assert(t, w.Withdraw(epoch.Add(100*time.Millisecond), dc, 4) > allot.ConsentLifetime, qt.IsTrue)
+	w := quota.Witness{Since: epoch}
+	qt.Assert(t, w.Withdraw(epoch.Add(100*time.Millisecond), dc, 4) > quota.ConsentLifetime, qt.IsTrue)
 }
 
 // Holder and witness are lost together, with the rack that both stood in.
 func TestSeatIsFreeAfterTheLongestHold(t *testing.T) {
 	c := qt.New(t)
-	var n allot.Claim
-	c.Assert(n.Next(epoch, next, 21, record, false), qt.Equals, allot.StepWithdraw)
-	c.Assert(n.Next(epoch.Add(allot.MaxTenureWithoutStore), next, 21, record, false), qt.Equals, allot.StepWithdraw)
-	c.Assert(n.Next(epoch.Add(2*allot.MaxTenureWithoutStore), next, 21, record, false), qt.Equals, allot.StepSwap)
+	var n quota.Claim
+	c.Assert(n.Next(epoch, next, 21, record, false), qt.Equals, quota.StepWithdraw)
+	c.Assert(n.Next(epoch.Add(quota.MaxTenureWithoutStore), next, 21, record, false), qt.Equals, quota.StepWithdraw)
+	c.Assert(n.Next(epoch.Add(2*quota.MaxTenureWithoutStore), next, 21, record, false), qt.Equals, quota.StepSwap)
 }
 
 // A holder's lease lapses, a successor sees it, and the holder registers anew
 // before the successor's swap. Only a swap of its own makes the holder safe.
 func TestHolderSwapsForItsNewLease(t *testing.T) {
 	c := qt.New(t)
-	var n allot.Claim
-	c.Assert(n.Next(epoch, holder, 12, record, false), qt.Equals, allot.StepSwap)
-	c.Assert(n.Next(epoch, holder, 11, record, false), qt.Equals, allot.StepAdopt)
+	var n quota.Claim
+	c.Assert(n.Next(epoch, holder, 12, record, false), qt.Equals, quota.StepSwap)
+	c.Assert(n.Next(epoch, holder, 11, record, false), qt.Equals, quota.StepAdopt)
 }
 
 // A holder gives its seat up, or names another witness, and the answer is lost: the
@@ -187,11 +187,11 @@
 // gone on by the old record, the next one would grant at the same time.
 func TestSwapUnderWayIsSwappedAgain(t *testing.T) {
 	c := qt.New(t)
-	var n allot.Claim
+	var n quota.Claim
 	n.Tried(record)
-	c.Assert(n.Next(epoch, holder, 11, record, true), qt.Equals, allot.StepSwap)
-	landed := allot.ClaimedRecord(record, holder, 11, next)
-	c.Assert(n.Next(epoch, holder, 11, landed, true), qt.Equals, allot.StepAdopt)
+	c.Assert(n.Next(epoch, holder, 11, record, true), qt.Equals, quota.StepSwap)
+	landed := quota.ClaimedRecord(record, holder, 11, next)
+	c.Assert(n.Next(epoch, holder, 11, landed, true), qt.Equals, quota.StepAdopt)
 }
 
 // Another host had the seat between two tenures of this one. What it granted is
@@ -199,9 +199,9 @@
 func TestTenureBetweenIsNoticed(t *testing.T) {
 	c := qt.New(t)
 	s := held()
-	own := allot.ClaimedRecord(record, holder, 12, witness)
+	own := quota.ClaimedRecord(record, holder, 12, witness)
 	c.Assert(s.Acquired(own), qt.IsTrue)
-	c.Assert(s.Acquired(allot.ClaimedRecord(allot.ClaimedRecord(own, next, 21, witness), holder, 13, witness)), qt.IsFalse)
+	c.Assert(s.Acquired(quota.ClaimedRecord(quota.ClaimedRecord(own, next, 21, witness), holder, 13, witness)), qt.IsFalse)
 }
 
 // A virtual machine is suspended for a minute. Its monotonic clock stood still, so
@@ -209,15 +209,15 @@
 // must not make anything fresh again.
 func TestSuspendedHostCountsTheSuspension(t *testing.T) {
 	c := qt.New(t)
-	var k allot.SuspendAwareClock
+	var k quota.SuspendAwareClock
 	c.Assert(k.Elapsed(time.Second, time.Second), qt.Equals, time.Second)
 	c.Assert(k.Elapsed(62*time.Second, 2*time.Second), qt.Equals, 62*time.Second)
 	c.Assert(k.Elapsed(3*time.Second, 3*time.Second), qt.Equals, 63*time.Second)
 }
 
 func BenchmarkTake(b *testing.B) {
-	s := allot.Spender{Own: dc}
-	s.Granted(epoch, epoch, dc, allot.Ask{}, allot.Grant{ID: 1, Tokens: 1 << 60})
+	s := quota.Spender{Own: dc}
+	s.Granted(epoch, epoch, dc, quota.Ask{}, quota.Grant{ID: 1, Tokens: 1 << 60})
 	b.ReportAllocs()
 	for b.Loop() {
 		if !s.Take(epoch, 1) {
@@ -227,8 +227,8 @@
 }
 
 func BenchmarkAskAndGrant(b *testing.B) {
-	h, now := filled(allot.Share{Rate: 1e9, Burst: 1e9})
-	s := allot.Spender{Own: dc}
+	h, now := filled(quota.Share{Rate: 1e9, Burst: 1e9})
+	s := quota.Spender{Own: dc}
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(10 * time.Millisecond)
--- a/core/allot/measure_test.go
+++ b/core/quota/measure_test.go
@@ -1,4 +1,4 @@
-package allot_test
+package quota_test
 
 import (
 	"strings"
--- a/core/allot/allot_test.go
+++ b/core/quota/quota_test.go
@@ -1,4 +1,4 @@
-package allot_test
+package quota_test
 
 import (
 	"flag"
@@ -10,9 +10,9 @@
 
 	"pgregory.net/rapid"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/naive"
+	"skylarkdeal/core/quota"
 	"skylarkdeal/internal/experiment/rates"
 )
 
@@ -37,7 +37,7 @@
 
 func ExampleShareOf() {
 	for _, d := range threeDCs {
-		fmt.Println(d, allot.ShareOf(90, 8, "orders", "hotel", d, threeDCs))
+		fmt.Println(d, quota.ShareOf(90, 8, "orders", "hotel", d, threeDCs))
 	}
 	// Output:
 	// asahikawa {30 3}
@@ -55,10 +55,10 @@
 		r1, b1 := draw("old")
 		r2, b2 := draw("new")
 		a := fleet.Account(rapid.String().Draw(t, "account"))
-		var sum allot.Share
+		var sum quota.Share
 		for _, d := range threeDCs {
-			s1 := allot.ShareOf(r1, b1, "orders", a, d, threeDCs)
-			s2 := allot.ShareOf(r2, b2, "orders", a, d, threeDCs)
+			s1 := quota.ShareOf(r1, b1, "orders", a, d, threeDCs)
+			s2 := quota.ShareOf(r2, b2, "orders", a, d, threeDCs)
 			sum.Rate += max(s1.Rate, s2.Rate)
 			sum.Burst += max(s1.Burst, s2.Burst)
 		}
@@ -100,7 +100,7 @@
 		for _, h := range w.Hosts {
 			h.Drift = rapid.Float64Range(-0.04, 0.04).Draw(t, "drift")
 		}
-		flood(w, allot.Share{Rate: rate, Burst: burst})
+		flood(w, quota.Share{Rate: rate, Burst: burst})
 		for range rapid.IntRange(3, 12).Draw(t, "faults") {
 			w.Run(w.Now() + time.Duration(rapid.IntRange(100, 6000).Draw(t, "wait"))*time.Millisecond)
 			fault(t, w)
@@ -116,7 +116,7 @@
 // flood lets exchanges come to every host for a while, then none until the burst
 // has grown anew, and so on: only a burst that has just been spent leaves no
 // slack in the bound.
-func flood(w *rates.World, a allot.Share) {
+func flood(w *rates.World, a quota.Share) {
 	every := 2 * time.Second / time.Duration(a.Rate)
 	rest := time.Duration(a.Burst/a.Rate*float64(time.Second)) + time.Second
 	var again func()
@@ -147,7 +147,7 @@
 		r1, b1 := draw("old")
 		r2, b2 := draw("new")
 		w := rates.NewWorld(rapid.Uint64().Draw(t, "seed"), 2, threeDCs, r1, b1)
-		flood(w, allot.Share{Rate: r1, Burst: b1})
+		flood(w, quota.Share{Rate: r1, Burst: b1})
 		w.Run(time.Duration(rapid.IntRange(8_000, 15_000).Draw(t, "start")) * time.Millisecond)
 		d := rates.NewDoc(2, threeDCs, r2, b2)
 		w.Doc = d
@@ -157,13 +157,13 @@
 			last = max(last, after)
 			w.After(after, func() { h.Adopt(d) })
 		}
-		changed, settled := w.Now(), w.Now()+last+allot.GrantCountedFor
+		changed, settled := w.Now(), w.Now()+last+quota.GrantCountedFor
 		w.Run(settled + 15*time.Second)
-		checkChange(t, w, allot.Share{Rate: r1, Burst: b1}, allot.Share{Rate: r2, Burst: b2}, changed, settled)
+		checkChange(t, w, quota.Share{Rate: r1, Burst: b1}, quota.Share{Rate: r2, Burst: b2}, changed, settled)
 	})
 }
 
-func checkChange(t *rapid.T, w *rates.World, old, next allot.Share, changed, settled time.Duration) {
+func checkChange(t *rapid.T, w *rates.World, old, next quota.Share, changed, settled time.Duration) {
 	b := naive.Bucket{Rate: old.Rate, Burst: max(old.Burst, next.Burst)}
 	var after []time.Time
 	for i, at := range w.Admitted {
@@ -188,16 +188,16 @@
 // may give a home tokens back that were spent.
 func TestReportsCountOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var h allot.Home
+		var h quota.Home
 		now := epoch
-		h.Start(now, 1, allot.Share{Rate: 10, Burst: 20}, 100, 0)
+		h.Start(now, 1, quota.Share{Rate: 10, Burst: 20}, 100, 0)
 		now = now.Add(10 * time.Second)
-		g := h.Ask(now, allot.Ask{Urgent: 10})
-		old := allot.Report{Grant: g.ID, Left: 8}
-		closed := allot.Report{Grant: g.ID, Left: 3, Closed: true}
-		reports := rapid.SliceOfN(rapid.SampledFrom([]allot.Report{old, closed}), 1, 6).Draw(t, "reports")
+		g := h.Ask(now, quota.Ask{Urgent: 10})
+		old := quota.Report{Grant: g.ID, Left: 8}
+		closed := quota.Report{Grant: g.ID, Left: 3, Closed: true}
+		reports := rapid.SliceOfN(rapid.SampledFrom([]quota.Report{old, closed}), 1, 6).Draw(t, "reports")
 		for _, r := range reports {
-			h.Ask(now, allot.Ask{Reports: []allot.Report{r}})
+			h.Ask(now, quota.Ask{Reports: []quota.Report{r}})
 		}
 		s := h.State()
 		if s.Level > 10+3 || s.Level+float64(s.Outstanding) > 20 {
--- a/core/allot/share.go
+++ b/core/quota/share.go
@@ -1,4 +1,4 @@
-// Package allot decides how much of a client account's rate each host may spend,
+// Package quota decides how much of a client account's rate each host may spend,
 // so that all hosts together never admit more than rate·w + burst in any window
 // w, whoever is cut off, paused, lost or restarted.
 //
@@ -6,7 +6,7 @@
 // One host of the data centre, the home, grants that share in short-lived
 // batches of tokens, to the hosts of its own data centre and of others. A host
 // spends a batch before it expires; the home counts it until later than that.
-package allot
+package quota
 
 import (
 	"math"
--- a/core/allot/spender.go
+++ b/core/quota/spender.go
@@ -1,4 +1,4 @@
-package allot
+package quota
 
 import (
 	"math"
--- a/internal/experiment/rates/host.go
+++ b/internal/experiment/rates/host.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/document"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/core/quota"
 	"skylarkdeal/core/roster"
 )
 
@@ -28,13 +28,13 @@
 	paused time.Duration
 	dead   time.Duration
 
-	process allot.Process
+	process quota.Process
 	doc     *document.Document
-	spender allot.Spender
-	home    allot.Home
-	seat    allot.Ownership
-	claim   allot.Claim
-	witness allot.Witness
+	spender quota.Spender
+	home    quota.Home
+	seat    quota.Ownership
+	claim   quota.Claim
+	witness quota.Witness
 	lease   roster.Lease
 	target  map[fleet.DataCentre]int
 	waiters []waiter
@@ -72,10 +72,10 @@
 
 // boot starts a new process on the host, which has forgotten everything.
 func (h *Host) boot() {
-	h.process = allot.Process{Host: h.name, Epoch: h.process.Epoch + 1}
-	h.doc, h.home, h.seat, h.claim = h.w.Doc, allot.Home{}, allot.Ownership{}, allot.Claim{}
-	h.witness = allot.Witness{Since: h.early()}
-	h.spender = allot.Spender{Host: h.name, Own: h.dc}
+	h.process = quota.Process{Host: h.name, Epoch: h.process.Epoch + 1}
+	h.doc, h.home, h.seat, h.claim = h.w.Doc, quota.Home{}, quota.Ownership{}, quota.Claim{}
+	h.witness = quota.Witness{Since: h.early()}
+	h.spender = quota.Spender{Host: h.name, Own: h.dc}
 	h.lease, h.waiters, h.dead = roster.Lease{}, nil, 0
 	h.target = map[fleet.DataCentre]int{}
 	h.roundEnds = 0
@@ -117,9 +117,9 @@
 	return h.late().Add(-h.lag)
 }
 
-func (h *Host) share() allot.Share {
+func (h *Host) share() quota.Share {
 	a, _ := h.doc.Account(account)
-	return allot.ShareOf(a.Rate, a.Burst, h.doc.Service, account, h.dc, h.doc.DataCentres)
+	return quota.ShareOf(a.Rate, a.Burst, h.doc.Service, account, h.dc, h.doc.DataCentres)
 }
 
 // Adopt puts a newer document in effect on the host.
--- a/internal/experiment/rates/seats.go
+++ b/internal/experiment/rates/seats.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/core/quota"
 	"skylarkdeal/core/roster"
 )
 
-func (h *Host) seatName() allot.OwnershipID { return allot.OwnershipID(h.dc) }
+func (h *Host) seatName() quota.OwnershipID { return quota.OwnershipID(h.dc) }
 
 // renew keeps the lease, as io/members does.
 func (h *Host) renew() {
@@ -90,7 +90,7 @@
 		return
 	}
 	type answer struct {
-		by allot.Process
+		by quota.Process
 		ok bool
 	}
 	call(h, to, func() answer {
@@ -113,7 +113,7 @@
 
 func (h *Host) tryClaim() {
 	type read struct {
-		r      allot.OwnershipRecord
+		r      quota.OwnershipRecord
 		stands bool
 		left   float64
 	}
@@ -125,24 +125,24 @@
 	}, func(v read) {
 		l := h.lease.Name
 		switch h.claim.Next(h.early(), h.process, l, v.r, v.stands) {
-		case allot.StepIdle:
+		case quota.StepIdle:
 			h.lose()
-		case allot.StepAdopt:
+		case quota.StepAdopt:
 			if h.w.Chaos && h.w.random.IntN(2) > 0 {
-				h.swap(v.r, allot.ClaimedRecord(v.r, h.process, l, h.pickWitness()), v.left)
+				h.swap(v.r, quota.ClaimedRecord(v.r, h.process, l, h.pickWitness()), v.left)
 				return
 			}
 			h.won(v.r, 0)
-		case allot.StepSwap:
-			h.swap(v.r, allot.ClaimedRecord(v.r, h.process, l, h.pickWitness()), v.left)
-		case allot.StepWithdraw:
+		case quota.StepSwap:
+			h.swap(v.r, quota.ClaimedRecord(v.r, h.process, l, h.pickWitness()), v.left)
+		case quota.StepWithdraw:
 			h.withdraw(v.r)
-		case allot.StepWait:
+		case quota.StepWait:
 		}
 	})
 }
 
-func (h *Host) pickWitness() allot.Process {
+func (h *Host) pickWitness() quota.Process {
 	var there []*Host
 	for _, o := range h.w.Hosts {
 		if o != h && o.dc == h.dc && o.dead == 0 {
@@ -150,12 +150,12 @@
 		}
 	}
 	if len(there) == 0 {
-		return allot.Process{}
+		return quota.Process{}
 	}
 	return there[h.w.random.IntN(len(there))].process
 }
 
-func (h *Host) swap(old, next allot.OwnershipRecord, left float64) {
+func (h *Host) swap(old, next quota.OwnershipRecord, left float64) {
 	h.seat.BeginSwap()
 	h.claim.Tried(old)
 	h.roundEnds = h.w.now + 4*time.Second
@@ -173,7 +173,7 @@
 	})
 }
 
-func (h *Host) withdraw(r allot.OwnershipRecord) {
+func (h *Host) withdraw(r quota.OwnershipRecord) {
 	to := h.w.find(r.Witness.Host)
 	if to == nil {
 		return
@@ -183,16 +183,16 @@
 	}, func(d time.Duration) { h.claim.Withdrawn(h.early(), r, d) })
 }
 
-func (h *Host) won(r allot.OwnershipRecord, left float64) {
-	h.claim = allot.Claim{}
+func (h *Host) won(r quota.OwnershipRecord, left float64) {
+	h.claim = quota.Claim{}
 	if !h.seat.Acquired(r) {
-		h.home.Start(h.early(), h.doc.Version, h.share(), allot.GrantID(h.w.random.Uint64()), h.first(r, left))
+		h.home.Start(h.early(), h.doc.Version, h.share(), quota.GrantID(h.w.random.Uint64()), h.first(r, left))
 	}
 	h.seat.LeaseRenewed(h.lease.Name, h.lease.Until())
 }
 
 // first returns the level that a home starts with.
-func (h *Host) first(r allot.OwnershipRecord, left float64) float64 {
+func (h *Host) first(r quota.OwnershipRecord, left float64) float64 {
 	if r.Tenure == 1 {
 		return h.share().Burst
 	}
@@ -211,7 +211,7 @@
 		if now.Holder != r.Holder || now.Tenure != r.Tenure {
 			return false
 		}
-		h.w.seats[h.seatName()] = allot.OwnershipRecord{Tenure: r.Tenure + 1}
+		h.w.seats[h.seatName()] = quota.OwnershipRecord{Tenure: r.Tenure + 1}
 		h.w.left[h.seatName()] = left
 		return true
 	}, func(bool) {})
@@ -219,5 +219,5 @@
 
 func (h *Host) lose() {
 	h.seat.Lost()
-	h.home = allot.Home{}
+	h.home = quota.Home{}
 }
--- a/internal/experiment/rates/spend.go
+++ b/internal/experiment/rates/spend.go
@@ -4,17 +4,17 @@
 	"slices"
 	"time"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/core/quota"
 )
 
 // answer is a home's answer to an ask.
 type answer struct {
-	grant allot.Grant
+	grant quota.Grant
 	here  bool
 }
 
-func (h *Host) answer(a allot.Ask) answer {
+func (h *Host) answer(a quota.Ask) answer {
 	if !h.seat.CanGrant(h.late()) {
 		return answer{}
 	}
@@ -61,12 +61,12 @@
 	}
 	for len(h.waiters) > 0 {
 		n := len(h.waiters)
-		if !now.Add(h.spender.Soonest(now, h.rate(), allot.Tokens(n), h.dcs())).After(h.waiters[n-1].limit) {
+		if !now.Add(h.spender.Soonest(now, h.rate(), quota.Tokens(n), h.dcs())).After(h.waiters[n-1].limit) {
 			break
 		}
 		h.refuse(n - 1)
 	}
-	if w, ok := h.spender.Next(now, allot.Tokens(len(h.waiters)), h.dcs()); ok {
+	if w, ok := h.spender.Next(now, quota.Tokens(len(h.waiters)), h.dcs()); ok {
 		h.ask(w, now)
 	}
 	if len(h.waiters) > 0 && !h.ticking {
@@ -78,9 +78,9 @@
 	}
 }
 
-func (h *Host) rate() allot.Share {
+func (h *Host) rate() quota.Share {
 	a, _ := h.doc.Account(account)
-	return allot.Share{Rate: a.Rate, Burst: a.Burst}
+	return quota.Share{Rate: a.Rate, Burst: a.Burst}
 }
 
 func (h *Host) dcs() []fleet.DataCentre {
@@ -90,7 +90,7 @@
 	return h.doc.DataCentres
 }
 
-func (h *Host) ask(w allot.HomeRequest, sent time.Time) {
+func (h *Host) ask(w quota.HomeRequest, sent time.Time) {
 	to := h.targetIn(w.DataCentre)
 	settled := false
 	back := func(a answer) {
@@ -112,7 +112,7 @@
 	}
 	call(h, to, func() answer { return to.answer(w.Ask) }, back)
 	if !h.w.Chaos {
-		h.later(allot.AskTimeout, func() { back(answer{}) })
+		h.later(quota.AskTimeout, func() { back(answer{}) })
 	}
 }
 
--- a/internal/experiment/rates/world.go
+++ b/internal/experiment/rates/world.go
@@ -1,4 +1,4 @@
-// Package rates puts the decisions of core/allot into a fleet in memory, with
+// Package rates puts the decisions of core/quota into a fleet in memory, with
 // clocks of its own, a store and a network that can fail, and measures how many
 // exchanges several designs of one rate over all hosts refuse wrongly. Nothing in
 // it waits or reads a clock; the same seed gives the same figures.
@@ -9,13 +9,13 @@
 	"math/rand/v2"
 	"time"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/document"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/core/quota"
 	"skylarkdeal/internal/agenda"
 )
 
-// World is a fleet around the decisions of core/allot: hosts with clocks of
+// World is a fleet around the decisions of core/quota: hosts with clocks of
 // their own, a store, and a network between them that can be cut.
 type World struct {
 	now    time.Duration
@@ -32,10 +32,10 @@
 	// Doc is the document that a new process starts with.
 	Doc *document.Document
 
-	seats map[allot.OwnershipID]allot.OwnershipRecord
+	seats map[quota.OwnershipID]quota.OwnershipRecord
 	// left is what homes that gave their seat up had, as io/grants writes it
 	// into the record.
-	left      map[allot.OwnershipID]float64
+	left      map[quota.OwnershipID]float64
 	leases    map[fleet.Host]lease
 	cut       map[fleet.DataCentre]time.Duration
 	storeDown time.Duration
@@ -63,7 +63,7 @@
 func NewWorld(seed uint64, perDC int, dcs []fleet.DataCentre, rate, burst float64) *World {
 	w := &World{
 		random: rand.New(rand.NewPCG(seed, 1)), lend: true, dcs: dcs,
-		seats: map[allot.OwnershipID]allot.OwnershipRecord{}, left: map[allot.OwnershipID]float64{}, leases: map[fleet.Host]lease{},
+		seats: map[quota.OwnershipID]quota.OwnershipRecord{}, left: map[quota.OwnershipID]float64{}, leases: map[fleet.Host]lease{},
 		cut: map[fleet.DataCentre]time.Duration{}, Doc: NewDoc(1, dcs, rate, burst),
 	}
 	for _, d := range dcs {
--- a/io/grants/claims.go
+++ b/io/grants/claims.go
@@ -10,10 +10,10 @@
 
 	"go.uber.org/zap"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/failure"
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/journal"
+	"skylarkdeal/core/quota"
 	"skylarkdeal/core/roster"
 	"skylarkdeal/io/host/hostpb"
 )
@@ -27,7 +27,7 @@
 
 // storedSeat is a seat as the store has it.
 type storedSeat struct {
-	allot.OwnershipRecord
+	quota.OwnershipRecord
 	// Left is what the homes had when the last holder gave the seat up.
 	Left []leftover `json:"left,omitempty"`
 }
@@ -52,9 +52,9 @@
 	// without it.
 	dirty, waits bool
 	// standing remembers which holders' leases stand.
-	standing map[allot.OwnershipRecord]bool
+	standing map[quota.OwnershipRecord]bool
 	// withdraw holds the seats whose consent is to be withdrawn, by witness.
-	withdraw map[allot.Process][]roster.Shard
+	withdraw map[quota.Process][]roster.Shard
 }
 
 // changeSeats claims and gives up seats with one read and one swap, and reports
@@ -100,7 +100,7 @@
 	lease, _ := r.cfg.Store.Lease()
 	c := &change{
 		seats: storedSeats{}, lease: lease, won: map[roster.Shard][]leftover{},
-		standing: map[allot.OwnershipRecord]bool{}, withdraw: map[allot.Process][]roster.Shard{},
+		standing: map[quota.OwnershipRecord]bool{}, withdraw: map[quota.Process][]roster.Shard{},
 	}
 	list, err := r.cfg.Store.List(ctx, r.seatsKey())
 	if err != nil {
@@ -130,7 +130,7 @@
 		if now.Tenure != g.tenure {
 			g.left = nil
 		}
-		c.seats[shardKey(h)] = storedSeat{allot.OwnershipRecord{Tenure: now.Tenure + 1}, g.left}
+		c.seats[shardKey(h)] = storedSeat{quota.OwnershipRecord{Tenure: now.Tenure + 1}, g.left}
 		c.given = append(c.given, h)
 		c.dirty = true
 	}
@@ -147,20 +147,20 @@
 	defer r.mu.Unlock()
 	s := r.seat(h)
 	switch s.claim.Next(r.clock.early(), r.process(), c.lease, read.OwnershipRecord, stands) {
-	case allot.StepAdopt:
+	case quota.StepAdopt:
 		if !r.witnessServes(read.Witness) {
 			r.planSwap(c, h, read, nil)
 			return nil
 		}
 		r.won(h, read.OwnershipRecord, c.lease, nil)
-	case allot.StepSwap:
+	case quota.StepSwap:
 		r.planSwap(c, h, read, read.Left)
-	case allot.StepWithdraw:
+	case quota.StepWithdraw:
 		c.withdraw[read.Witness] = append(c.withdraw[read.Witness], h)
 		c.waits = true
-	case allot.StepIdle:
+	case quota.StepIdle:
 		r.lose(h, s)
-	case allot.StepWait:
+	case quota.StepWait:
 		c.waits = true
 	}
 	return nil
@@ -176,7 +176,7 @@
 	s.tenure.BeginSwap()
 	s.claim.Tried(read.OwnershipRecord)
 	c.seats[shardKey(h)] = storedSeat{
-		OwnershipRecord: allot.ClaimedRecord(read.OwnershipRecord, r.process(), c.lease, r.pickWitness()),
+		OwnershipRecord: quota.ClaimedRecord(read.OwnershipRecord, r.process(), c.lease, r.pickWitness()),
 	}
 	c.won[h], c.dirty = left, true
 }
@@ -204,10 +204,10 @@
 }
 
 // won takes in that the record names this host; r.mu is held.
-func (r *Runtime) won(h roster.Shard, rec allot.OwnershipRecord, lease uint64, left []leftover) {
+func (r *Runtime) won(h roster.Shard, rec quota.OwnershipRecord, lease uint64, left []leftover) {
 	l, until := r.cfg.Store.Lease()
 	s := r.seat(h)
-	s.claim, s.yield = allot.Claim{}, time.Time{}
+	s.claim, s.yield = quota.Claim{}, time.Time{}
 	kept := s.tenure.Acquired(rec)
 	if l == lease {
 		s.tenure.LeaseRenewed(lease, until)
@@ -226,14 +226,14 @@
 // stands reports whether the lease of a record's holder stands, asking the store
 // once for all seats of one holder. A holder that is a member is taken to have
 // its lease without asking: to rest is always safe, and it costs no call.
-func (r *Runtime) stands(ctx context.Context, rec allot.OwnershipRecord, known map[allot.OwnershipRecord]bool) (bool, error) {
-	if rec.Holder == (allot.Process{}) || rec.Holder == r.process() {
+func (r *Runtime) stands(ctx context.Context, rec quota.OwnershipRecord, known map[quota.OwnershipRecord]bool) (bool, error) {
+	if rec.Holder == (quota.Process{}) || rec.Holder == r.process() {
 		return false, nil
 	}
 	if m, ok := r.member(rec.Holder.Host); ok && !m.Leaving && r.cfg.Store.Epoch(m.Host) == rec.Holder.Epoch {
 		return true, nil
 	}
-	k := allot.OwnershipRecord{Holder: rec.Holder, Lease: rec.Lease}
+	k := quota.OwnershipRecord{Holder: rec.Holder, Lease: rec.Lease}
 	if v, ok := known[k]; ok {
 		return v, nil
 	}
@@ -256,24 +256,24 @@
 
 // pickWitness returns a live host, rather of the own data centre, so that a data
 // centre cut off from all else can go on.
-func (r *Runtime) pickWitness() allot.Process {
+func (r *Runtime) pickWitness() quota.Process {
 	m := r.cfg.Members()
 	for _, e := range append(roster.InDataCentre(m, r.cfg.DataCentre), m...) {
 		if e.Host == r.cfg.Host || e.Leaving {
 			continue
 		}
 		if epoch := r.cfg.Store.Epoch(e.Host); epoch != 0 {
-			return allot.Process{Host: e.Host, Epoch: epoch}
+			return quota.Process{Host: e.Host, Epoch: epoch}
 		}
 	}
-	return allot.Process{}
+	return quota.Process{}
 }
 
 var errNoWitness = errors.New("the witness is not among the members")
 
 // withdraw asks a witness to consent no more to the tenures of some seats. While
 // it doesn't answer they stay as they are.
-func (r *Runtime) withdraw(ctx context.Context, w allot.Process, shards []roster.Shard, c *change) {
+func (r *Runtime) withdraw(ctx context.Context, w quota.Process, shards []roster.Shard, c *change) {
 	asks := make([]*hostpb.SeatAsk, len(shards))
 	for i, h := range shards {
 		asks[i] = &hostpb.SeatAsk{
--- a/io/grants/clock.go
+++ b/io/grants/clock.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"skylarkdeal/core/allot"
+	"skylarkdeal/core/quota"
 )
 
 // clock gives two readings of one host's time. Whatever this host has to end
@@ -11,7 +11,7 @@
 type clock struct {
 	now   func() time.Time
 	first time.Time
-	clock allot.SuspendAwareClock
+	clock quota.SuspendAwareClock
 }
 
 func (c *clock) start(now func() time.Time) {
@@ -23,7 +23,7 @@
 	return c.now()
 }
 
-// late returns the time as allot.SuspendAwareClock has it.
+// late returns the time as quota.SuspendAwareClock has it.
 func (c *clock) late() time.Time {
 	t := c.now()
 	wall := t.Round(0).Sub(c.first.Round(0))
--- a/io/grants/consent.go
+++ b/io/grants/consent.go
@@ -4,9 +4,9 @@
 	"context"
 	"errors"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/failure"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/core/quota"
 	"skylarkdeal/io/host/hostpb"
 )
 
@@ -23,7 +23,7 @@
 		if err != nil {
 			continue
 		}
-		by := allot.Process{Host: w.Host, Epoch: a.GetHello().GetEpoch()}
+		by := quota.Process{Host: w.Host, Epoch: a.GetHello().GetEpoch()}
 		r.mu.Lock()
 		for i, n := range names {
 			if s := r.seats[n.name]; s != nil && a.GetSeats()[i].GetConsented() {
@@ -36,13 +36,13 @@
 
 // tenureOf names a tenure of a seat.
 type tenureOf struct {
-	name   allot.OwnershipID
+	name   quota.OwnershipID
 	tenure uint64
 }
 
 // inNeed returns the held seats that need consent, by witness.
-func (r *Runtime) inNeed() map[allot.Process][]tenureOf {
-	out := map[allot.Process][]tenureOf{}
+func (r *Runtime) inNeed() map[quota.Process][]tenureOf {
+	out := map[quota.Process][]tenureOf{}
 	now := r.clock.late()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,7 +58,7 @@
 
 // askWitness sends asks to w, which may be this host.
 func (r *Runtime) askWitness(
-	ctx context.Context, w allot.Process, asks []*hostpb.SeatAsk,
+	ctx context.Context, w quota.Process, asks []*hostpb.SeatAsk,
 ) (*hostpb.GrantResponse, error) {
 	q := &hostpb.GrantRequest{Hello: r.hello(), Seats: asks}
 	if w.Host == r.cfg.Host {
@@ -68,7 +68,7 @@
 	if !ok {
 		return nil, failure.At(errNoWitness, "ask witness", failure.Peer(w.Host))
 	}
-	ctx, cancel := context.WithTimeout(ctx, allot.AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, quota.AskTimeout)
 	defer cancel()
 	a, err := r.cfg.Call(ctx, m, q)
 	if err == nil && len(a.GetSeats()) != len(asks) {
--- a/io/grants/entries.go
+++ b/io/grants/entries.go
@@ -6,10 +6,10 @@
 	"sync/atomic"
 	"time"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/document"
 	"skylarkdeal/core/failure"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/core/quota"
 	"skylarkdeal/core/roster"
 )
 
@@ -23,7 +23,7 @@
 type entry struct {
 	name
 	shard   roster.Shard
-	spender allot.Spender
+	spender quota.Spender
 	// document is the version in effect.
 	document atomic.Pointer[document.Document]
 	// waiting counts the exchanges that wait, so that none overtakes them.
@@ -37,7 +37,7 @@
 
 // waiter is an exchange that waits for n tokens.
 type waiter struct {
-	n     allot.Tokens
+	n     quota.Tokens
 	limit time.Time
 	done  func(*failure.Refusal)
 	// open is set for an exchange of an open transaction.
--- a/io/grants/grants.go
+++ b/io/grants/grants.go
@@ -18,11 +18,11 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/document"
 	"skylarkdeal/core/failure"
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/journal"
+	"skylarkdeal/core/quota"
 	"skylarkdeal/core/ring"
 	"skylarkdeal/core/roster"
 	"skylarkdeal/io/host/hostpb"
@@ -90,13 +90,13 @@
 
 	// mu guards what follows: it is held for map look-ups and sums only.
 	mu    sync.Mutex
-	homes map[name]*allot.Home
+	homes map[name]*quota.Home
 	// granted holds the accounts that ever had a home in this process.
 	granted map[name]bool
-	seats   map[allot.OwnershipID]*seat
+	seats   map[quota.OwnershipID]*seat
 	given   map[roster.Shard]given
-	witness allot.Witness
-	lastID  allot.GrantID
+	witness quota.Witness
+	lastID  quota.GrantID
 	leaving bool
 	// claiming is what Claiming returns.
 	claiming atomic.Bool
@@ -119,9 +119,9 @@
 		jobs:     ring.New[job](senders * 4),
 		results:  ring.New[result](senders * 8),
 		leaves:   ring.New[chan struct{}](1),
-		homes:    map[name]*allot.Home{},
+		homes:    map[name]*quota.Home{},
 		granted:  map[name]bool{},
-		seats:    map[allot.OwnershipID]*seat{},
+		seats:    map[quota.OwnershipID]*seat{},
 		given:    map[roster.Shard]given{},
 		lastID:   firstID(cfg.Host, cfg.Epoch),
 	}
@@ -134,8 +134,8 @@
 
 // firstID makes the ids of a process's grants differ from those that a former
 // home of the same accounts gave out: a report on one of those is then ignored.
-func firstID(h fleet.Host, epoch uint64) allot.GrantID {
-	return allot.GrantID(xxhash.Sum64String(fmt.Sprint(h, epoch)))
+func firstID(h fleet.Host, epoch uint64) quota.GrantID {
+	return quota.GrantID(xxhash.Sum64String(fmt.Sprint(h, epoch)))
 }
 
 // Run works until ctx ends.
@@ -153,7 +153,7 @@
 // reason why not; nothing has been run then. done may be called before Admit
 // returns, and must not block. An exchange without a deadline passes a zero one.
 func (r *Runtime) Admit(s fleet.Service, a fleet.Account, n int, deadline time.Time, done func(*failure.Refusal)) {
-	r.admit(s, a, waiter{n: allot.Tokens(n), limit: deadline, done: done}, r.cfg.Patience)
+	r.admit(s, a, waiter{n: quota.Tokens(n), limit: deadline, done: done}, r.cfg.Patience)
 }
 
 // openPatience is how long an exchange of an open transaction waits. No more of
@@ -169,7 +169,7 @@
 // again from the start. The bound of rate and burst holds as before, since such an
 // exchange waits for its token too.
 func (r *Runtime) AdmitOpen(s fleet.Service, a fleet.Account, n int, deadline time.Time, done func(*failure.Refusal)) {
-	r.admit(s, a, waiter{n: allot.Tokens(n), limit: deadline, done: done, open: true}, max(openPatience, r.cfg.Patience))
+	r.admit(s, a, waiter{n: quota.Tokens(n), limit: deadline, done: done, open: true}, max(openPatience, r.cfg.Patience))
 }
 
 func (r *Runtime) admit(s fleet.Service, a fleet.Account, w waiter, patience time.Duration) {
--- a/io/grants/homes.go
+++ b/io/grants/homes.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/document"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/core/quota"
 	"skylarkdeal/core/roster"
 	"skylarkdeal/io/host/hostpb"
 )
@@ -42,14 +42,14 @@
 // The right to grant is looked up for each ask with the late clock, before the
 // grant is made. The spender counts a grant's life from before it sent the ask,
 // so a home that is paused after the look-up hands out a grant that has expired.
-func (r *Runtime) grant(n name, a allot.Ask) (allot.Grant, homeOf) {
+func (r *Runtime) grant(n name, a quota.Ask) (quota.Grant, homeOf) {
 	shard := roster.ShardOf(n.service, n.account)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.seats[seatName(r.cfg.DataCentre, shard)]
 	h := r.homes[n]
 	if s == nil || h == nil || !s.tenure.CanGrant(r.clock.late()) {
-		return allot.Grant{}, homeOf{hint: r.winner(shard)}
+		return quota.Grant{}, homeOf{hint: r.winner(shard)}
 	}
 	g := h.Ask(r.clock.early(), a)
 	r.metrics.granted.Add(float64(g.Tokens))
@@ -70,7 +70,7 @@
 func (r *Runtime) witnessed(q *hostpb.SeatAsk) *hostpb.SeatAnswer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := allot.OwnershipID(q.GetSeat())
+	n := quota.OwnershipID(q.GetSeat())
 	now := r.clock.early()
 	if !q.GetWithdraw() {
 		return &hostpb.SeatAnswer{Consented: r.witness.Consent(now, n, q.GetTenure())}
@@ -133,7 +133,7 @@
 	}
 	r.granted[n] = true
 	r.lastID += idsPerHome
-	h := &allot.Home{}
+	h := &quota.Home{}
 	h.Start(now, d.Version, share, r.lastID, left)
 	r.homes[n] = h
 }
@@ -160,8 +160,8 @@
 	}
 }
 
-func (r *Runtime) share(d *document.Document, a document.Account) allot.Share {
-	return allot.ShareOf(a.Rate, a.Burst, d.Service, a.Name, r.cfg.DataCentre, d.DataCentres)
+func (r *Runtime) share(d *document.Document, a document.Account) quota.Share {
+	return quota.ShareOf(a.Rate, a.Burst, d.Service, a.Name, r.cfg.DataCentre, d.DataCentres)
 }
 
 func micros(d time.Duration) uint64 {
--- a/io/grants/seats.go
+++ b/io/grants/seats.go
@@ -8,8 +8,8 @@
 
 	"go.uber.org/zap"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/core/quota"
 	"skylarkdeal/core/roster"
 	"skylarkdeal/internal/pause"
 )
@@ -43,14 +43,14 @@
 // SeatPrefix is where the seats are kept in the store, a key for each data centre.
 const SeatPrefix = "/skylarkdeal/homes/"
 
-func seatName(d fleet.DataCentre, h roster.Shard) allot.OwnershipID {
-	return allot.OwnershipID(fmt.Sprintf("%s/%02d", d, h))
+func seatName(d fleet.DataCentre, h roster.Shard) quota.OwnershipID {
+	return quota.OwnershipID(fmt.Sprintf("%s/%02d", d, h))
 }
 
 // seat is this host's view of one seat of its data centre.
 type seat struct {
-	tenure allot.Ownership
-	claim  allot.Claim
+	tenure quota.Ownership
+	claim  quota.Claim
 	// yield is when this host, the holder, first saw another one win the duty.
 	yield time.Time
 }
@@ -143,7 +143,7 @@
 		case s.tenure.Held():
 			s.tenure.LeaseRenewed(0, forever)
 		default:
-			s.tenure.Acquired(allot.OwnershipRecord{Holder: r.process()})
+			s.tenure.Acquired(quota.OwnershipRecord{Holder: r.process()})
 			s.tenure.LeaseRenewed(0, forever)
 			r.startHomes(h, nil)
 		}
@@ -169,8 +169,8 @@
 	}
 }
 
-func (r *Runtime) process() allot.Process {
-	return allot.Process{Host: r.cfg.Host, Epoch: r.cfg.Epoch}
+func (r *Runtime) process() quota.Process {
+	return quota.Process{Host: r.cfg.Host, Epoch: r.cfg.Epoch}
 }
 
 func (r *Runtime) isLeaving() bool {
@@ -200,8 +200,8 @@
 // witnessServes reports whether the witness is a live member of the epoch that
 // the record names, and as near as any, or there is none to be had. A witness in
 // another data centre is of no use when this one is cut off.
-func (r *Runtime) witnessServes(p allot.Process) bool {
-	if p == (allot.Process{}) {
+func (r *Runtime) witnessServes(p quota.Process) bool {
+	if p == (quota.Process{}) {
 		return r.pickWitness() == p
 	}
 	m, ok := r.member(p.Host)
--- a/io/grants/send.go
+++ b/io/grants/send.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/core/quota"
 	"skylarkdeal/core/roster"
 	"skylarkdeal/io/host/hostpb"
 )
@@ -13,9 +13,9 @@
 // ask is one account's ask on its way to a home and back.
 type ask struct {
 	entry  *entry
-	wanted allot.HomeRequest
+	wanted quota.HomeRequest
 	sent   time.Time
-	grant  allot.Grant
+	grant  quota.Grant
 	home   homeOf
 	failed bool
 }
@@ -34,14 +34,14 @@
 type outbox struct {
 	jobs map[fleet.Host]*job
 	// at is the rank, by roster, of the host that is asked for a seat.
-	at map[allot.OwnershipID]int
+	at map[quota.OwnershipID]int
 	// known is the host that last granted for a seat, or was hinted at.
-	known map[allot.OwnershipID]fleet.Host
+	known map[quota.OwnershipID]fleet.Host
 }
 
 // queue puts an ask with those that go to the same host, or answers it at once
 // when this host is the home.
-func (r *Runtime) queue(e *entry, w allot.HomeRequest, now time.Time) {
+func (r *Runtime) queue(e *entry, w quota.HomeRequest, now time.Time) {
 	a := ask{entry: e, wanted: w, sent: now}
 	to, ok := r.target(w.DataCentre, e.shard)
 	if !ok {
@@ -101,7 +101,7 @@
 
 // call fills in the answers of j's asks.
 func (r *Runtime) call(ctx context.Context, j job) {
-	ctx, cancel := context.WithTimeout(ctx, allot.AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, quota.AskTimeout)
 	defer cancel()
 	q := &hostpb.GrantRequest{Hello: r.hello(), Asks: make([]*hostpb.GrantAsk, len(j.asks))}
 	for i, a := range j.asks {
@@ -153,14 +153,14 @@
 	a.entry.spender.Failed(now, a.wanted.DataCentre)
 }
 
-func (o *outbox) know(n allot.OwnershipID, h fleet.Host) {
+func (o *outbox) know(n quota.OwnershipID, h fleet.Host) {
 	if o.known == nil {
-		o.known, o.at = map[allot.OwnershipID]fleet.Host{}, map[allot.OwnershipID]int{}
+		o.known, o.at = map[quota.OwnershipID]fleet.Host{}, map[quota.OwnershipID]int{}
 	}
 	o.known[n], o.at[n] = h, 0
 }
 
-func (o *outbox) next(n allot.OwnershipID, hint, from fleet.Host) {
+func (o *outbox) next(n quota.OwnershipID, hint, from fleet.Host) {
 	if hint != "" && hint != from && o.known[n] != hint {
 		at := o.at[n]
 		o.know(n, hint)
@@ -174,7 +174,7 @@
 	o.at[n]++
 }
 
-func askMessage(n name, a allot.Ask) *hostpb.GrantAsk {
+func askMessage(n name, a quota.Ask) *hostpb.GrantAsk {
 	m := &hostpb.GrantAsk{
 		Service: string(n.service), Account: string(n.account),
 		Urgent: uint64(max(0, a.Urgent)), Ahead: uint64(max(0, a.Ahead)),
@@ -187,26 +187,26 @@
 	return m
 }
 
-func askOf(from fleet.Host, m *hostpb.GrantAsk) allot.Ask {
-	a := allot.Ask{Spender: from, Urgent: allot.Tokens(m.GetUrgent()), Ahead: allot.Tokens(m.GetAhead())}
+func askOf(from fleet.Host, m *hostpb.GrantAsk) quota.Ask {
+	a := quota.Ask{Spender: from, Urgent: quota.Tokens(m.GetUrgent()), Ahead: quota.Tokens(m.GetAhead())}
 	for _, p := range m.GetReports() {
-		a.Reports = append(a.Reports, allot.Report{
-			Grant: allot.GrantID(p.GetGrant()), Left: allot.Tokens(p.GetLeft()), Closed: p.GetClosed(),
+		a.Reports = append(a.Reports, quota.Report{
+			Grant: quota.GrantID(p.GetGrant()), Left: quota.Tokens(p.GetLeft()), Closed: p.GetClosed(),
 		})
 	}
 	return a
 }
 
-func answerOf(g allot.Grant, h homeOf) *hostpb.GrantAnswer {
+func answerOf(g quota.Grant, h homeOf) *hostpb.GrantAnswer {
 	return &hostpb.GrantAnswer{
 		Grant: uint64(g.ID), Tokens: uint64(max(0, g.Tokens)), RetryAfterUs: micros(g.RetryAfter),
 		NotHome: !h.here, Home: string(h.hint),
 	}
 }
 
-func grantOf(a *hostpb.GrantAnswer) (allot.Grant, homeOf) {
-	g := allot.Grant{
-		ID: allot.GrantID(a.GetGrant()), Tokens: allot.Tokens(a.GetTokens()),
+func grantOf(a *hostpb.GrantAnswer) (quota.Grant, homeOf) {
+	g := quota.Grant{
+		ID: quota.GrantID(a.GetGrant()), Tokens: quota.Tokens(a.GetTokens()),
 		RetryAfter: time.Duration(a.GetRetryAfterUs()) * time.Microsecond,
 	}
 	return g, homeOf{here: !a.GetNotHome(), hint: fleet.Host(a.GetHome())}
--- a/io/grants/serve.go
+++ b/io/grants/serve.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/failure"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/core/quota"
 )
 
 // arrival is an exchange on its way to the waiting ones.
@@ -108,8 +108,8 @@
 }
 
 // wanted returns the tokens that the waiting exchanges need.
-func (e *entry) wanted() allot.Tokens {
-	var n allot.Tokens
+func (e *entry) wanted() quota.Tokens {
+	var n quota.Tokens
 	for _, w := range e.waiters {
 		n += w.n
 	}
@@ -138,12 +138,12 @@
 
 // soonest returns the least time until n tokens may have come, if no other host
 // wanted any.
-func (e *entry) soonest(now time.Time, n allot.Tokens) time.Duration {
+func (e *entry) soonest(now time.Time, n quota.Tokens) time.Duration {
 	a, ok := e.document.Load().Account(e.account)
 	if !ok {
 		return time.Second
 	}
-	return e.spender.Soonest(now, allot.Share{Rate: a.Rate, Burst: a.Burst}, n, e.dataCentres())
+	return e.spender.Soonest(now, quota.Share{Rate: a.Rate, Burst: a.Burst}, n, e.dataCentres())
 }
 
 func (e *entry) refusal(now time.Time) *failure.Refusal {
--- a/io/grants/state.go
+++ b/io/grants/state.go
@@ -8,8 +8,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"go.uber.org/zap"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/core/quota"
 )
 
 // metrics counts what the runtime does.
@@ -65,7 +65,7 @@
 type State struct {
 	Accounts []AccountState                              `json:"accounts"`
 	Homes    []HomeState                                 `json:"homes"`
-	Seats    map[allot.OwnershipID]allot.OwnershipRecord `json:"seats"`
+	Seats    map[quota.OwnershipID]quota.OwnershipRecord `json:"seats"`
 }
 
 // AccountState is an account as this host spends for it.
@@ -81,12 +81,12 @@
 type HomeState struct {
 	Service fleet.Service `json:"service"`
 	Account fleet.Account `json:"account"`
-	allot.HomeState
+	quota.HomeState
 }
 
 // State returns what the runtime holds at the moment.
 func (r *Runtime) State() State {
-	s := State{Seats: map[allot.OwnershipID]allot.OwnershipRecord{}}
+	s := State{Seats: map[quota.OwnershipID]quota.OwnershipRecord{}}
 	r.entries.each(func(e *entry) {
 		s.Accounts = append(s.Accounts, AccountState{
 			e.service, e.account, e.waiting.Load(), e.admitted.Load(), e.refused.Load(),
