--- a/core/group/naive_test.go
+++ b/core/group/naive_test.go
@@ -11,14 +11,14 @@
 	"skylarkdeal/core/exchange"
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/group/grouptest"
-	"skylarkdeal/core/naive"
+	"skylarkdeal/core/reference"
 	"skylarkdeal/core/session"
 )
 
 // roamer is one session that writes and reads through any host, one request at
 // a time, with its token.
 type roamer struct {
-	naive   naive.Database
+	naive   reference.Database
 	token   session.Token
 	writing string
 	reading *read
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/core/naive"
 	"skylarkdeal/core/quota"
+	"skylarkdeal/core/reference"
 	"skylarkdeal/internal/experiment/rates"
 )
 
@@ -107,7 +107,7 @@
 		}
 		w.Run(w.Now() + 10*time.Second)
 		// The homes' clocks may be fast by the drift, and so may what they grant.
-		if i := naive.Exceeds(w.Admitted, rate*1.04, burst); i >= 0 {
+		if i := reference.Exceeds(w.Admitted, rate*1.04, burst); i >= 0 {
 			t.Fatalf("admission %d at %v is too many", i, w.Admitted[i].Sub(epoch))
 		}
 	})
@@ -164,7 +164,7 @@
 }
 
 func checkChange(t *rapid.T, w *rates.World, old, next quota.Share, changed, settled time.Duration) {
-	b := naive.Bucket{Rate: old.Rate, Burst: max(old.Burst, next.Burst)}
+	b := reference.Bucket{Rate: old.Rate, Burst: max(old.Burst, next.Burst)}
 	var after []time.Time
 	for i, at := range w.Admitted {
 		since := at.Sub(epoch)
@@ -179,7 +179,7 @@
 			t.Fatalf("admission %d at %v is too many", i, since)
 		}
 	}
-	if i := naive.Exceeds(after, next.Rate, next.Burst); i >= 0 {
+	if i := reference.Exceeds(after, next.Rate, next.Burst); i >= 0 {
 		t.Fatalf("admission %d after the change is too many", i)
 	}
 }
--- a/core/naive/bucket.go
+++ b/core/reference/bucket.go
@@ -1,6 +1,6 @@
-// Package naive holds the simplest versions of the decisions, for differential
+// Package reference holds the simplest versions of the decisions, for differential
 // tests: one host, one clock, one bucket for each account.
-package naive
+package reference
 
 import "time"
 
--- a/core/naive/bucket_test.go
+++ b/core/reference/bucket_test.go
@@ -1,4 +1,4 @@
-package naive_test
+package reference_test
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 
 	"pgregory.net/rapid"
 
-	"skylarkdeal/core/naive"
+	"skylarkdeal/core/reference"
 )
 
 func ExampleBucket() {
-	b := naive.Bucket{Rate: 10, Burst: 2}
+	b := reference.Bucket{Rate: 10, Burst: 2}
 	t := time.Unix(0, 0)
 	fmt.Println(b.Admit(t), b.Admit(t), b.Admit(t), b.Admit(t.Add(100*time.Millisecond)))
 	// Output: true true false true
@@ -37,7 +37,7 @@
 				}
 			}
 		}
-		if got := naive.Exceeds(at, rate, burst); got != want {
+		if got := reference.Exceeds(at, rate, burst); got != want {
 			t.Fatalf("Exceeds = %d, want %d", got, want)
 		}
 	})
--- a/core/naive/ledger.go
+++ b/core/reference/ledger.go
@@ -1,6 +1,6 @@
-// Package naive does in the plainest way what the system does: one host, one
+// Package reference does in the plainest way what the system does: one host, one
 // lock, one database instance. Tests compare the two.
-package naive
+package reference
 
 import (
 	"slices"
--- a/internal/experiment/rates/designs.go
+++ b/internal/experiment/rates/designs.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/core/naive"
+	"skylarkdeal/core/reference"
 )
 
 // scenario is a load within the rate, with something that goes wrong.
@@ -96,8 +96,8 @@
 func static(seed uint64) (*World, func(*Host, func(bool))) {
 	w := NewWorld(seed, 2, fourDCs, measuredRate, measuredBurst)
 	w.agenda.Clear()
-	share := func() *naive.Bucket { return &naive.Bucket{Rate: measuredRate / 8, Burst: measuredBurst / 8} }
-	buckets := map[*Host]*naive.Bucket{}
+	share := func() *reference.Bucket { return &reference.Bucket{Rate: measuredRate / 8, Burst: measuredBurst / 8} }
+	buckets := map[*Host]*reference.Bucket{}
 	booted := map[*Host]uint64{}
 	return w, func(h *Host, done func(bool)) {
 		b := buckets[h]
--- a/internal/experiment/rates/measure.go
+++ b/internal/experiment/rates/measure.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"skylarkdeal/core/naive"
+	"skylarkdeal/core/reference"
 )
 
 // Outcome is what the callers got from one design in one case, over all runs.
@@ -66,7 +66,7 @@
 	w.Run(warm)
 	calls := w.calls
 	w.After(measured/3, func() { s.breaks(w) })
-	perfect := naive.Bucket{Rate: measuredRate, Burst: measuredBurst}
+	perfect := reference.Bucket{Rate: measuredRate, Burst: measuredBurst}
 	r := rand.New(rand.NewPCG(seed, 2))
 	var o Outcome
 	sent := 0
@@ -102,7 +102,7 @@
 	w.After(0, next)
 	w.Run(warm + measured + 5*time.Second)
 	o.Calls = float64(w.calls-calls) / measured.Seconds()
-	if naive.Exceeds(w.Admitted, measuredRate, measuredBurst) >= 0 {
+	if reference.Exceeds(w.Admitted, measuredRate, measuredBurst) >= 0 {
 		o.Over++
 	}
 	return o
