--- a/internal/serve/assemble.go
+++ b/internal/serve/assemble.go
@@ -9,12 +9,12 @@
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/io/caller"
 	"skylarkdeal/io/control"
+	"skylarkdeal/io/docsync"
 	"skylarkdeal/io/etcd"
 	"skylarkdeal/io/grants"
 	"skylarkdeal/io/holder"
 	"skylarkdeal/io/host"
 	"skylarkdeal/io/members"
-	"skylarkdeal/io/spread"
 )
 
 func (h *Host) readSecrets() error {
@@ -76,7 +76,7 @@
 		Log:          h.log,
 		Metrics:      h.registry,
 	}
-	h.spread = spread.New(h.spreadConfig())
+	h.spread = docsync.New(h.spreadConfig())
 	h.grants = grants.New(h.grantsConfig())
 	h.holder = holder.New(h.holderConfig())
 	h.server = &host.Server{
--- a/internal/serve/peer.go
+++ b/internal/serve/peer.go
@@ -10,8 +10,8 @@
 	"skylarkdeal/core/document"
 	"skylarkdeal/core/failure"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/io/docsync"
 	"skylarkdeal/io/host/hostpb"
-	"skylarkdeal/io/spread"
 )
 
 // address returns where a host's inner protocol is. A seed of the settings is
@@ -33,9 +33,9 @@
 	return &hostpb.Hello{Host: string(h.settings.Host.Name), Epoch: h.epoch}
 }
 
-func (h *Host) spreadConfig() spread.Config {
+func (h *Host) spreadConfig() docsync.Config {
 	s := h.settings
-	return spread.Config{
+	return docsync.Config{
 		Self:       h.self(),
 		Hello:      h.hello(),
 		Store:      h.store,
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -16,13 +16,13 @@
 	"skylarkdeal/core/journal"
 	"skylarkdeal/core/settings"
 	"skylarkdeal/io/caller"
+	"skylarkdeal/io/docsync"
 	"skylarkdeal/io/etcd"
 	"skylarkdeal/io/grants"
 	"skylarkdeal/io/holder"
 	"skylarkdeal/io/host"
 	"skylarkdeal/io/members"
 	"skylarkdeal/io/operator"
-	"skylarkdeal/io/spread"
 )
 
 // Host is one running host.
@@ -41,7 +41,7 @@
 	peers    *host.Peers
 	server   *host.Server
 	members  *members.Runtime
-	spread   *spread.Spread
+	spread   *docsync.Spread
 	grants   *grants.Runtime
 	holder   *holder.Holder
 	callers  *caller.Server
--- a/internal/slopes/fleet.go
+++ b/internal/slopes/fleet.go
@@ -14,8 +14,8 @@
 	"skylarkdeal/core/settings"
 	"skylarkdeal/internal/edit"
 	"skylarkdeal/internal/localfleet"
+	"skylarkdeal/io/docsync"
 	"skylarkdeal/io/etcd"
-	"skylarkdeal/io/spread"
 	"skylarkdeal/standin/ledger"
 	"skylarkdeal/standin/store"
 )
@@ -178,7 +178,7 @@
 func awaitVersion(ctx context.Context, f *localfleet.Fleet, v document.Version) error {
 	for _, h := range f.Hosts {
 		for {
-			var s struct{ Documents spread.State }
+			var s struct{ Documents docsync.State }
 			b, err := get(ctx, "http://"+h.OperatorAddr()+"/state?section=documents")
 			if err == nil {
 				err = json.Unmarshal(b, &s)
@@ -186,7 +186,7 @@
 			if err != nil {
 				return err
 			}
-			has := func(d spread.DocumentState) bool { return d.Version >= v && d.Service == "orders-000" }
+			has := func(d docsync.DocumentState) bool { return d.Version >= v && d.Service == "orders-000" }
 			if slices.ContainsFunc(s.Documents.Documents, has) {
 				break
 			}
--- a/io/spread/bench_test.go
+++ b/io/docsync/bench_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package docsync_test
 
 import (
 	"bytes"
@@ -16,9 +16,9 @@
 
 	"skylarkdeal/core/document"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/io/docsync"
 	"skylarkdeal/io/etcd"
 	"skylarkdeal/io/host/hostpb"
-	"skylarkdeal/io/spread"
 	"skylarkdeal/standin/store"
 )
 
@@ -30,7 +30,7 @@
 // are in one process in three data centres and call each other directly, so the
 // figures hold the store's and the decisions' time, not the network's.
 //
-//	go test -run '^$' -bench 'PutToInEffect$' -benchtime 100x ./io/spread
+//	go test -run '^$' -bench 'PutToInEffect$' -benchtime 100x ./io/docsync
 func BenchmarkPutToInEffect(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) { putToInEffect(b, n, options{dataCentres: 3}) })
@@ -39,7 +39,7 @@
 
 // BenchmarkPutToInEffectWithoutPush measures the same with digests alone.
 //
-//	go test -run '^$' -bench PutToInEffectWithoutPush -benchtime 10x ./io/spread
+//	go test -run '^$' -bench PutToInEffectWithoutPush -benchtime 10x ./io/docsync
 func BenchmarkPutToInEffectWithoutPush(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
@@ -82,7 +82,7 @@
 // BenchmarkQuietFleet measures what hosts cost the store and each other when no
 // document changes, over one second each round.
 //
-//	go test -run '^$' -bench QuietFleet -benchtime 10x ./io/spread
+//	go test -run '^$' -bench QuietFleet -benchtime 10x ./io/docsync
 func BenchmarkQuietFleet(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
@@ -112,7 +112,7 @@
 // second: before an outage of the store, during it, and in the seconds after its
 // return.
 //
-//	go test -run '^$' -bench StoreReturn -benchtime 1x ./io/spread
+//	go test -run '^$' -bench StoreReturn -benchtime 1x ./io/docsync
 func BenchmarkStoreReturn(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
@@ -196,12 +196,12 @@
 // BenchmarkDigest measures what a host of the target size spends on answering
 // one question of a peer: 960 documents of 3 KB.
 //
-//	go test -run '^$' -bench 'Digest$' ./io/spread
+//	go test -run '^$' -bench 'Digest$' ./io/docsync
 func BenchmarkDigest(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	s := spread.New(spread.Config{Hello: &hostpb.Hello{Host: "h"}})
+	s := docsync.New(docsync.Config{Hello: &hostpb.Hello{Host: "h"}})
 	known := fill(s, 960)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -221,7 +221,7 @@
 
 // fill puts documents in effect and returns the question of a peer that has them
 // too.
-func fill(s *spread.Spread, documents int) *hostpb.DigestRequest {
+func fill(s *docsync.Spread, documents int) *hostpb.DigestRequest {
 	all := &hostpb.PushRequest{}
 	known := &hostpb.DigestRequest{Full: true}
 	for n := range documents {
--- a/io/spread/digest.go
+++ b/io/docsync/digest.go
@@ -1,4 +1,4 @@
-package spread
+package docsync
 
 import (
 	"context"
--- a/io/spread/spread.go
+++ b/io/docsync/docsync.go
@@ -1,8 +1,8 @@
-// Package spread keeps the documents in effect on one host: it asks peers at the
+// Package docsync keeps the documents in effect on one host: it asks peers at the
 // start, follows the store where this host is its data centre's watcher, hands
 // changes on to other hosts, and compares with random peers to repair what was
 // lost on the way.
-package spread
+package docsync
 
 import (
 	"context"
--- a/io/spread/spread_test.go
+++ b/io/docsync/docsync_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package docsync_test
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 
 	"skylarkdeal/core/document"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/io/docsync"
 	"skylarkdeal/io/etcd"
 	"skylarkdeal/io/host/hostpb"
-	"skylarkdeal/io/spread"
 	"skylarkdeal/standin/store"
 )
 
@@ -248,7 +248,7 @@
 func TestKnownChangeIsHandedOn(t *testing.T) {
 	c := qt.New(t)
 	pushed := make(chan string, 4)
-	s := spread.New(spread.Config{
+	s := docsync.New(docsync.Config{
 		Push: func(_ context.Context, peer string, r *hostpb.PushRequest) error {
 			pushed <- fmt.Sprintf("%d document to %s", len(r.GetDocuments()), peer)
 			return nil
@@ -304,7 +304,7 @@
 	asked := make(chan time.Time, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	s := spread.New(spread.Config{
+	s := docsync.New(docsync.Config{
 		Seeds: []string{"10.0.0.1:1"}, Now: func() time.Time { return now },
 		IsWatcher: func() bool { return false }, DigestEvery: time.Hour,
 		Digest: func(context.Context, string, *hostpb.DigestRequest) (*hostpb.DigestResponse, error) {
--- a/io/spread/fleet_test.go
+++ b/io/docsync/fleet_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package docsync_test
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 
 	"skylarkdeal/core/document"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/io/docsync"
 	"skylarkdeal/io/etcd"
 	"skylarkdeal/io/host/hostpb"
-	"skylarkdeal/io/spread"
 	"skylarkdeal/standin/store"
 )
 
@@ -37,7 +37,7 @@
 
 // host is one host of a test.
 type host struct {
-	*spread.Spread
+	*docsync.Spread
 	self   fleet.Member
 	stop   func()
 	store  *etcd.Store
@@ -114,7 +114,7 @@
 	h.store = etcd.Dial(etcd.Config{
 		Endpoints: []string{s.Addr()}, Rate: o.storeRate, Burst: 100, Timeout: time.Second,
 	})
-	h.Spread = spread.New(n.config(h, place, o))
+	h.Spread = docsync.New(n.config(h, place, o))
 	n.mu.Lock()
 	n.hosts[h.self.Peer] = h
 	n.mu.Unlock()
@@ -133,8 +133,8 @@
 	return h
 }
 
-func (n *network) config(h *host, place int, o options) spread.Config {
-	cfg := spread.Config{
+func (n *network) config(h *host, place int, o options) docsync.Config {
+	cfg := docsync.Config{
 		Self: h.self, Hello: &hostpb.Hello{Version: 1, Host: string(h.self.Host)},
 		Store: h.store, Prefix: document.StorePrefix(root), Now: h.now, Members: n.members,
 		IsWatcher:   func() bool { return place < max(o.dataCentres, 1) },
--- a/io/spread/metrics_test.go
+++ b/io/docsync/metrics_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package docsync_test
 
 import (
 	"testing"
@@ -7,14 +7,14 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/prometheus/client_golang/prometheus"
 
+	"skylarkdeal/io/docsync"
 	"skylarkdeal/io/host/hostpb"
-	"skylarkdeal/io/spread"
 )
 
 func TestMetricsTellOfInvalidDocuments(t *testing.T) {
 	c := qt.New(t)
 	r := prometheus.NewRegistry()
-	s := spread.New(spread.Config{Metrics: r, Now: func() time.Time { return time.Unix(1000, 0) }})
+	s := docsync.New(docsync.Config{Metrics: r, Now: func() time.Time { return time.Unix(1000, 0) }})
 	s.HandlePush(&hostpb.PushRequest{Documents: []*hostpb.Document{
 		{Service: "a", Version: 1, Text: text("a", 1)}, {Service: "a", Version: 2, Text: text("a", 0)},
 	}})
--- a/io/spread/start_test.go
+++ b/io/docsync/start_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package docsync_test
 
 import (
 	"context"
@@ -8,14 +8,14 @@
 	qt "github.com/frankban/quicktest"
 
 	"skylarkdeal/core/document"
+	"skylarkdeal/io/docsync"
 	"skylarkdeal/io/host/hostpb"
-	"skylarkdeal/io/spread"
 )
 
 // peers answers the digests of a starting host; a stale one has version 1 of the
 // document, the others version 2.
-func peers(stale map[string]bool) (map[string]*spread.Spread, []string) {
-	m := map[string]*spread.Spread{}
+func peers(stale map[string]bool) (map[string]*docsync.Spread, []string) {
+	m := map[string]*docsync.Spread{}
 	var seeds []string
 	for n := range 32 {
 		a := fmt.Sprintf("10.0.0.%d:1", n+1)
@@ -23,7 +23,7 @@
 		if stale[a] {
 			v = 1
 		}
-		m[a] = spread.New(spread.Config{Hello: &hostpb.Hello{Host: a}})
+		m[a] = docsync.New(docsync.Config{Hello: &hostpb.Hello{Host: a}})
 		m[a].HandlePush(&hostpb.PushRequest{Documents: []*hostpb.Document{
 			{Service: "a", Version: v, Text: text("a", int(v))},
 		}})
@@ -34,9 +34,9 @@
 
 // startOne starts a host and returns the version that it has in effect when it
 // becomes ready.
-func startOne(seeds []string, ask int, answer func(peer string) *spread.Spread) document.Version {
+func startOne(seeds []string, ask int, answer func(peer string) *docsync.Spread) document.Version {
 	ctx, cancel := context.WithCancel(context.Background())
-	var s *spread.Spread
+	var s *docsync.Spread
 	asked := 0
 	atReady := document.Version(0)
 	look := func() {
@@ -44,7 +44,7 @@
 			atReady = d.Version
 		}
 	}
-	s = spread.New(spread.Config{
+	s = docsync.New(docsync.Config{
 		Seeds: seeds, AskAtStart: ask,
 		Digest: func(_ context.Context, peer string, r *hostpb.DigestRequest) (*hostpb.DigestResponse, error) {
 			asked++
@@ -68,14 +68,14 @@
 	c := qt.New(t)
 	m, seeds := peers(map[string]bool{"10.0.0.1:1": true})
 	for range 50 {
-		c.Assert(startOne(seeds[:3], 0, func(p string) *spread.Spread { return m[p] }), qt.Equals, document.Version(2))
+		c.Assert(startOne(seeds[:3], 0, func(p string) *docsync.Spread { return m[p] }), qt.Equals, document.Version(2))
 	}
 }
 
 // BenchmarkStartAmongStalePeers counts the hosts in a thousand that are ready
 // with an old version when one peer in eight has it, by how many peers they ask.
 //
-//	go test -run '^$' -bench StartAmongStalePeers -benchtime 2000x ./io/spread
+//	go test -run '^$' -bench StartAmongStalePeers -benchtime 2000x ./io/docsync
 func BenchmarkStartAmongStalePeers(b *testing.B) {
 	stale := map[string]bool{}
 	for n := range 4 {
@@ -86,7 +86,7 @@
 		b.Run(fmt.Sprintf("ask=%d", ask), func(b *testing.B) {
 			old := 0
 			for range b.N {
-				if startOne(seeds, ask, func(p string) *spread.Spread { return m[p] }) == 1 {
+				if startOne(seeds, ask, func(p string) *docsync.Spread { return m[p] }) == 1 {
 					old++
 				}
 			}
