--- a/io/steward/bench_test.go
+++ b/io/groupmonitor/bench_test.go
@@ -1,4 +1,4 @@
-package steward_test
+package groupmonitor_test
 
 import (
 	"fmt"
--- a/io/steward/cluster_test.go
+++ b/io/groupmonitor/cluster_test.go
@@ -1,4 +1,4 @@
-package steward_test
+package groupmonitor_test
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	"skylarkdeal/core/group/grouptest"
 	"skylarkdeal/core/journal"
 	"skylarkdeal/io/control"
+	"skylarkdeal/io/groupmonitor"
 	"skylarkdeal/io/host/hostpb"
-	"skylarkdeal/io/steward"
 )
 
 func TestMain(m *testing.M) {
@@ -46,7 +46,7 @@
 	// moved takes the place of doc once it is set.
 	moved     atomic.Pointer[document.Document]
 	hosts     []fleet.Member
-	stewards  map[fleet.Host]*steward.Steward
+	stewards  map[fleet.Host]*groupmonitor.Steward
 	journals  map[fleet.Host]*journal.Journal
 	link      time.Duration
 	mu        sync.Mutex
@@ -83,7 +83,7 @@
 	tb.Helper()
 	c := &cluster{
 		link:      time.Millisecond,
-		stewards:  make(map[fleet.Host]*steward.Steward),
+		stewards:  make(map[fleet.Host]*groupmonitor.Steward),
 		journals:  make(map[fleet.Host]*journal.Journal),
 		instances: make(map[fleet.Instance]*grouptest.Instance),
 		faults:    make(map[fleet.Instance]fault),
@@ -127,7 +127,7 @@
 	if m.Host == "h0" {
 		now = c.now
 	}
-	s := steward.New(steward.Config{
+	s := groupmonitor.New(groupmonitor.Config{
 		Service: "orders", Host: m.Host, DataCentre: m.DataCentre, Epoch: seed + 1, Seed: seed,
 		Document: c.document,
 		Dial:     func(i document.Instance) control.Client { return c.dial(m.Host, i.Name) },
--- a/io/steward/steward.go
+++ b/io/groupmonitor/groupmonitor.go
@@ -1,7 +1,7 @@
-// Package steward runs one database group on one of its holders: it asks the
+// Package groupmonitor runs one database group on one of its holders: it asks the
 // instances for their status, proves to waiting requests what they need proven,
 // and changes the primary when it fails. core/group decides all of that.
-package steward
+package groupmonitor
 
 import (
 	"context"
--- a/io/steward/ledger_test.go
+++ b/io/groupmonitor/ledger_test.go
@@ -1,4 +1,4 @@
-package steward_test
+package groupmonitor_test
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"skylarkdeal/core/document"
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/io/control"
+	"skylarkdeal/io/groupmonitor"
 	"skylarkdeal/io/host/hostpb"
-	"skylarkdeal/io/steward"
 	"skylarkdeal/standin/ledger"
 )
 
@@ -32,7 +32,7 @@
 	group    *ledger.Group
 	doc      document.Document
 	hosts    []fleet.Member
-	stewards map[fleet.Host]*steward.Steward
+	stewards map[fleet.Host]*groupmonitor.Steward
 	mu       sync.Mutex
 	away     map[fleet.Host]bool
 	// slow delays the answers of instance a, pause the next step of host h0.
@@ -50,7 +50,7 @@
 
 func newFleet(tb testing.TB, lag time.Duration) *fleetOf {
 	tb.Helper()
-	f := &fleetOf{stewards: make(map[fleet.Host]*steward.Steward), away: make(map[fleet.Host]bool)}
+	f := &fleetOf{stewards: make(map[fleet.Host]*groupmonitor.Steward), away: make(map[fleet.Host]bool)}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	names := []fleet.Instance{"a", "b", "c"}
 	cfg := ledger.Config{Service: "orders", Lag: lag}
@@ -89,7 +89,7 @@
 }
 
 func (f *fleetOf) prepare(m fleet.Member, seed uint64) {
-	s := steward.New(steward.Config{
+	s := groupmonitor.New(groupmonitor.Config{
 		Service: "orders", Host: m.Host, DataCentre: m.DataCentre, Epoch: seed, Seed: seed,
 		Document: func() *document.Document { return &f.doc },
 		Dial:     func(i document.Instance) control.Client { return f.dial(m.Host, i) },
--- a/io/steward/wait.go
+++ b/io/groupmonitor/wait.go
@@ -1,4 +1,4 @@
-package steward
+package groupmonitor
 
 import (
 	"time"
--- a/io/holder/configure.go
+++ b/io/holder/configure.go
@@ -11,13 +11,13 @@
 	"skylarkdeal/core/place"
 	"skylarkdeal/io/control"
 	"skylarkdeal/io/database"
+	"skylarkdeal/io/groupmonitor"
 	"skylarkdeal/io/host/hostpb"
-	"skylarkdeal/io/steward"
 )
 
-func (g *groupRun) stewardConfig() steward.Config {
+func (g *groupRun) stewardConfig() groupmonitor.Config {
 	c := g.h.c
-	return steward.Config{
+	return groupmonitor.Config{
 		Service:    g.service,
 		Host:       c.Host,
 		DataCentre: c.DataCentre,
--- a/io/holder/group.go
+++ b/io/holder/group.go
@@ -15,7 +15,7 @@
 	"skylarkdeal/core/place"
 	"skylarkdeal/core/ring"
 	"skylarkdeal/io/database"
-	"skylarkdeal/io/steward"
+	"skylarkdeal/io/groupmonitor"
 )
 
 // The bounds of a group's rings and of the exchanges under way.
@@ -43,7 +43,7 @@
 	service fleet.Service
 	// document is shared.
 	document atomic.Pointer[document.Document]
-	steward  *steward.Steward
+	steward  *groupmonitor.Steward
 	// pins are shared.
 	pins pins
 
@@ -102,7 +102,7 @@
 		slots:     map[fleet.Instance]int{},
 	}
 	g.document.Store(d)
-	g.steward = steward.New(g.stewardConfig())
+	g.steward = groupmonitor.New(g.stewardConfig())
 	g.steward.OnChange(g.stir)
 	return g
 }
--- a/io/holder/state.go
+++ b/io/holder/state.go
@@ -12,7 +12,7 @@
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/internal/metric"
 	"skylarkdeal/io/database"
-	"skylarkdeal/io/steward"
+	"skylarkdeal/io/groupmonitor"
 )
 
 // GroupState is what the state dump says of one group on this holder.
@@ -21,7 +21,7 @@
 	// Holds is set while this host holds connections to the group.
 	Holds    bool                   `json:"holds"`
 	Holders  []fleet.Member         `json:"holders"`
-	Group    steward.State          `json:"group"`
+	Group    groupmonitor.State     `json:"group"`
 	Queue    admit.State            `json:"queue"`
 	UnderWay int                    `json:"under-way"`
 	Pins     int                    `json:"pins"`
