--- a/core/admit/service_test.go
+++ b/core/admit/service_test.go
@@ -10,7 +10,7 @@
 	"skylarkdeal/core/exchange"
 	"skylarkdeal/core/failure"
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/internal/agenda"
+	"skylarkdeal/internal/eventqueue"
 )
 
 // load is what one account's callers send.
@@ -59,7 +59,7 @@
 	random    *rand.Rand
 	instances []instance
 	timeout   time.Duration
-	events    agenda.Queue
+	events    eventqueue.Queue
 	seq       uint64
 	waiting   map[uint64]request
 	got       map[fleet.Account]*got
--- a/core/relay/model_group_test.go
+++ b/core/relay/model_group_test.go
@@ -9,7 +9,7 @@
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/relay"
 	"skylarkdeal/core/statement"
-	"skylarkdeal/internal/agenda"
+	"skylarkdeal/internal/eventqueue"
 )
 
 // commit is one entry of a log, with what became of it.
@@ -41,7 +41,7 @@
 	r      *rand.Rand
 	now    time.Time
 	began  time.Time
-	agenda agenda.Queue
+	agenda eventqueue.Queue
 	relay  *relay.Relay
 	// servers by name, primary the one that the platform has promoted last.
 	servers map[fleet.Instance]*server
--- a/internal/agenda/agenda.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package agenda runs functions at times of a simulated clock, in order.
-package agenda
+// Package eventqueue runs functions at times of a simulated clock, in order.
+package eventqueue
 
 import (
 	"container/heap"
--- a/internal/agenda/agenda_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -1,14 +1,14 @@
-package agenda_test
+package eventqueue_test
 
 import (
 	"fmt"
 	"time"
 
-	"skylarkdeal/internal/agenda"
+	"skylarkdeal/internal/eventqueue"
 )
 
 func ExampleQueue() {
-	var a agenda.Queue
+	var a eventqueue.Queue
 	say := func(s string) func() { return func() { fmt.Print(s, " ") } }
 	a.Add(2*time.Second, say("c"))
 	a.Add(time.Second, say("a"))
--- a/internal/experiment/rates/world.go
+++ b/internal/experiment/rates/world.go
@@ -12,14 +12,14 @@
 	"skylarkdeal/core/document"
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/quota"
-	"skylarkdeal/internal/agenda"
+	"skylarkdeal/internal/eventqueue"
 )
 
 // World is a fleet around the decisions of core/quota: hosts with clocks of
 // their own, a store, and a network between them that can be cut.
 type World struct {
 	now    time.Duration
-	agenda agenda.Queue
+	agenda eventqueue.Queue
 	random *rand.Rand
 	// Hosts stand in the order of their data centres.
 	Hosts []*Host
