--- a/internal/edit/edit.go
+++ b/internal/edit/edit.go
@@ -13,7 +13,7 @@
 
 	"skylarkdeal/core/document"
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 	"skylarkdeal/io/etcd"
 )
 
@@ -205,5 +205,5 @@
 	if e.Sleep != nil {
 		return e.Sleep(ctx, d)
 	}
-	return pause.For(ctx, d)
+	return sleep.For(ctx, d)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -20,7 +20,7 @@
 	"skylarkdeal/core/relay"
 	"skylarkdeal/core/settings"
 	"skylarkdeal/internal/clock"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 	"skylarkdeal/io/gossip"
 	"skylarkdeal/io/loop"
 	"skylarkdeal/io/operator"
@@ -256,7 +256,7 @@
 	h.loop.Post(func() { h.relay.Drain(h.settings.Adapter.Grace) })
 	ctx, drained := context.WithTimeout(context.Background(), grace)
 	defer drained()
-	pause.Every(ctx, drainedEvery, func() {
+	sleep.Every(ctx, drainedEvery, func() {
 		h.loop.Post(func() {
 			if h.relay.Drained() {
 				drained()
--- a/internal/experiment/failover.go
+++ b/internal/experiment/failover.go
@@ -13,7 +13,7 @@
 
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/internal/localfleet"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 	"skylarkdeal/standin/ledger"
 	"skylarkdeal/standin/store"
 )
@@ -208,7 +208,7 @@
 	ctx, cancel := context.WithTimeout(ctx, awaitTimeout)
 	defer cancel()
 	for !ok() {
-		if !pause.For(ctx, time.Millisecond) {
+		if !sleep.For(ctx, time.Millisecond) {
 			return fmt.Errorf("no sign of %s", what)
 		}
 	}
--- a/internal/load/fault.go
+++ b/internal/load/fault.go
@@ -13,7 +13,7 @@
 	"gopkg.in/ini.v1"
 
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 	"skylarkdeal/standin/ledger"
 )
 
@@ -83,7 +83,7 @@
 func (r *runner) inject(ctx context.Context) []FaultResult {
 	results := []FaultResult{}
 	for _, f := range r.cfg.Plan {
-		if !pause.For(ctx, f.At-r.since()) {
+		if !sleep.For(ctx, f.At-r.since()) {
 			return results
 		}
 		x := FaultResult{Name: f.Name, At: r.since(), URL: f.URL}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -15,7 +15,7 @@
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/ring"
 	"skylarkdeal/internal/load/check"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // Config says what to run.
@@ -226,7 +226,7 @@
 const progressEvery = time.Second
 
 func (r *runner) report(ctx context.Context) {
-	pause.Every(ctx, progressEvery, func() {
+	sleep.Every(ctx, progressEvery, func() {
 		r.mu.Lock()
 		p := r.progress
 		r.mu.Unlock()
--- a/internal/load/session.go
+++ b/internal/load/session.go
@@ -13,7 +13,7 @@
 	"skylarkdeal/core/ring"
 	"skylarkdeal/internal/address"
 	"skylarkdeal/internal/load/check"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // use is what one of a session's connections is for. A session that writes on
@@ -168,7 +168,7 @@
 	if s.pause == 0 {
 		return nil
 	}
-	if !pause.For(ctx, time.Duration(s.rng.Int64N(int64(s.pause)))) {
+	if !sleep.For(ctx, time.Duration(s.rng.Int64N(int64(s.pause)))) {
 		return ctx.Err()
 	}
 	return nil
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -16,8 +16,8 @@
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/settings"
 	"skylarkdeal/internal/edit"
-	"skylarkdeal/internal/pause"
 	"skylarkdeal/internal/serve"
+	"skylarkdeal/internal/sleep"
 	"skylarkdeal/io/etcd"
 	"skylarkdeal/standin/ledger"
 	"skylarkdeal/standin/store"
@@ -217,7 +217,7 @@
 			return nil
 		}
 		last = err
-		pause.For(ctx, 20*time.Millisecond)
+		sleep.For(ctx, 20*time.Millisecond)
 	}
 	return errors.Join(ctx.Err(), last)
 }
--- a/internal/pause/pause.go
+++ b/internal/sleep/sleep.go
@@ -1,5 +1,5 @@
-// Package pause waits for a time, once or again and again, or for the end of a context.
-package pause
+// Package sleep waits for a time, once or again and again, or for the end of a context.
+package sleep
 
 import (
 	"context"
--- a/io/docsync/docsync.go
+++ b/io/docsync/docsync.go
@@ -20,7 +20,7 @@
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/journal"
 	"skylarkdeal/core/ring"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 	"skylarkdeal/io/etcd"
 	"skylarkdeal/io/host/hostpb"
 )
@@ -245,7 +245,7 @@
 
 // sleep waits from half of d to one and a half and reports whether ctx goes on.
 func (s *Spread) sleep(ctx context.Context, d time.Duration) bool {
-	return pause.For(ctx, time.Duration(float64(d)*(0.5+rand.Float64())))
+	return sleep.For(ctx, time.Duration(float64(d)*(0.5+rand.Float64())))
 }
 
 func sortedKeys(m map[fleet.Service]*document.Document) []fleet.Service {
--- a/io/etcd/follow.go
+++ b/io/etcd/follow.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // Follower keeps up with all entries under a prefix, whatever happens to its
@@ -273,5 +273,5 @@
 }
 
 func (f *Follower) sleep(ctx context.Context, d time.Duration) {
-	_ = pause.For(ctx, f.spread(d)) // whoever calls looks at ctx
+	_ = sleep.For(ctx, f.spread(d)) // whoever calls looks at ctx
 }
--- a/io/etcd/gate.go
+++ b/io/etcd/gate.go
@@ -8,7 +8,7 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // gate bounds the calls of one process.
@@ -80,7 +80,7 @@
 		if err != nil || wait == 0 {
 			return err
 		}
-		if !pause.For(ctx, wait) {
+		if !sleep.For(ctx, wait) {
 			return ctx.Err()
 		}
 	}
--- a/io/grants/seats.go
+++ b/io/grants/seats.go
@@ -11,7 +11,7 @@
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/quota"
 	"skylarkdeal/core/roster"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // Entry is one key of the store as it was read.
@@ -76,7 +76,7 @@
 func (r *Runtime) keepSeats(ctx context.Context) {
 	for {
 		r.roundOfSeats(ctx)
-		if !pause.For(ctx, seatEvery+rand.N(seatEvery/4)) {
+		if !sleep.For(ctx, seatEvery+rand.N(seatEvery/4)) {
 			return
 		}
 	}
--- a/io/host/outbound.go
+++ b/io/host/outbound.go
@@ -13,7 +13,7 @@
 	"skylarkdeal/core/failure"
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/ring"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 	"skylarkdeal/io/host/hostpb"
 )
 
@@ -266,7 +266,7 @@
 
 // expire ends the flights whose answer is overdue, and tells the holder.
 func (o *outbound) expire() {
-	pause.Every(o.ctx, expireEvery, func() {
+	sleep.Every(o.ctx, expireEvery, func() {
 		for _, f := range o.overdue(o.peers.now().Add(-expireGrace)) {
 			o.finish(f, errTimeout)
 		}
--- a/io/members/members.go
+++ b/io/members/members.go
@@ -21,7 +21,7 @@
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/journal"
 	"skylarkdeal/core/roster"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 	"skylarkdeal/io/host/hostpb"
 )
 
@@ -152,7 +152,7 @@
 			b.Reset()
 		}
 		cancel()
-		if !pause.For(ctx, wait) {
+		if !sleep.For(ctx, wait) {
 			return
 		}
 	}
--- a/io/registry/catalog.go
+++ b/io/registry/catalog.go
@@ -9,7 +9,7 @@
 
 	"skylarkdeal/core/catalog"
 	"skylarkdeal/core/follow"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // watchCatalog reads the catalog and then watches it.
@@ -86,11 +86,11 @@
 // tells the others, so that the calls don't grow with the fleet.
 func (r *Registry) confirmCatalog(ctx context.Context) {
 	// The watch begins with a reading of its own.
-	pause.For(ctx, confirmEvery)
+	sleep.For(ctx, confirmEvery)
 	for ctx.Err() == nil {
 		due := r.knownSince().Add(confirmEvery + r.turn())
 		if wait := due.Sub(r.cfg.Now()); wait > 0 {
-			pause.For(ctx, wait)
+			sleep.For(ctx, wait)
 			continue
 		}
 		if _, err := r.readCatalog(ctx); err != nil {
--- a/io/registry/census.go
+++ b/io/registry/census.go
@@ -16,7 +16,7 @@
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/follow"
 	"skylarkdeal/core/mesh"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // countKey holds the number of hosts, and readersKey those that were registered last, for hosts that
@@ -43,7 +43,7 @@
 func (r *Registry) census(ctx context.Context) follow.Role {
 	for n := range 2 {
 		if n > 0 {
-			pause.For(ctx, follow.RegistrationDelay(r.cfg.Self.Capacity)+rand.N(censusSpread))
+			sleep.For(ctx, follow.RegistrationDelay(r.cfg.Self.Capacity)+rand.N(censusSpread))
 		}
 		x, err := r.countHosts(ctx)
 		if err != nil {
@@ -164,7 +164,7 @@
 	if !r.cfg.ElectReaders {
 		return
 	}
-	pause.Every(ctx, sizeEvery, func() {
+	sleep.Every(ctx, sizeEvery, func() {
 		n := int(r.size.Load())
 		if n == 0 || r.fence.Load() == 0 || time.Since(r.began) < sizeAfter {
 			return
--- a/io/registry/dependency.go
+++ b/io/registry/dependency.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // dependency logs when what the host depends on is lost and regained, once each.
@@ -35,7 +35,7 @@
 // wait pauses, and while the dependency is lost until it is regained: one duty tries it,
 // and the others spare it their calls.
 func (d *dependency) wait(ctx context.Context) {
-	pause.For(ctx, pauseAfterError)
+	sleep.For(ctx, pauseAfterError)
 	d.mu.Lock()
 	back := d.back
 	down := d.down
--- a/io/registry/duty.go
+++ b/io/registry/duty.go
@@ -11,7 +11,7 @@
 	"skylarkdeal/core/failure"
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/leader"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // Promotion is an order to the platform.
@@ -56,7 +56,7 @@
 	for ctx.Err() == nil {
 		l := LeaseID(r.lease.Load())
 		if l == 0 {
-			pause.For(ctx, pauseAfterError)
+			sleep.For(ctx, pauseAfterError)
 			continue
 		}
 		var err error
@@ -92,7 +92,7 @@
 	}
 	r.ownDuty(Entry{})
 	if young := r.cfg.CoordinatorDelay - time.Since(r.began); young > 0 {
-		pause.For(ctx, young)
+		sleep.For(ctx, young)
 		return 0, nil
 	}
 	b, err := json.Marshal(r.cfg.Self.Name)
@@ -213,7 +213,7 @@
 	if err := r.endOthers(ctx); err != nil {
 		return err
 	}
-	if d := leader.LeaseValidity - r.cfg.PromotionLeast; d > 0 && !pause.For(ctx, d) {
+	if d := leader.LeaseValidity - r.cfg.PromotionLeast; d > 0 && !sleep.For(ctx, d) {
 		return ctx.Err()
 	}
 	return r.promote(ctx, o, rec, fence)
@@ -285,7 +285,7 @@
 		if err == nil || ctx.Err() != nil {
 			return failure.At(err, "end a registration", failure.Peer("host "+string(h.Name)))
 		}
-		pause.For(ctx, pauseAfterError/4)
+		sleep.For(ctx, pauseAfterError/4)
 	}
 }
 
@@ -319,7 +319,7 @@
 		// That the instance isn't running any more refuses no order that it may have had before, so
 		// that the error doesn't stand for ErrNotRunning.
 		err = errors.New("not known to be taken: " + last.Error())
-		pause.For(ctx, pauseAfterError)
+		sleep.For(ctx, pauseAfterError)
 	}
 	return err
 }
@@ -353,7 +353,7 @@
 		return
 	}
 	r.wait.Go(func() {
-		if pause.For(ctx, r.cfg.PromotionDelay-stepDownBefore) {
+		if sleep.For(ctx, r.cfg.PromotionDelay-stepDownBefore) {
 			r.cfg.Post(func() { r.cfg.StepDown(o) })
 		}
 	})
--- a/io/registry/lists.go
+++ b/io/registry/lists.go
@@ -12,7 +12,7 @@
 
 	"skylarkdeal/core/catalog"
 	"skylarkdeal/core/follow"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // listing is a reading of the list of instances: what tells it from others, when this host
@@ -87,9 +87,9 @@
 	if r.rank() >= turns {
 		// The instances of a service that starts announce themselves one after the other, and
 		// each has the list read anew by all hosts.
-		pause.For(ctx, turnStep)
+		sleep.For(ctx, turnStep)
 	}
-	pause.For(ctx, listingPause)
+	sleep.For(ctx, listingPause)
 	for ctx.Err() == nil {
 		digest, at := r.listed()
 		every := instancesEvery
--- a/io/registry/records.go
+++ b/io/registry/records.go
@@ -11,7 +11,7 @@
 
 	"skylarkdeal/core/follow"
 	"skylarkdeal/core/leader"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 func (r *Registry) listRecords(ctx context.Context) ([]leader.Record, error) {
@@ -56,7 +56,7 @@
 		cancel()
 		if err != nil {
 			r.up.failed(err)
-			pause.For(ctx, pauseAfterError)
+			sleep.For(ctx, pauseAfterError)
 			continue
 		}
 		r.cfg.Post(func() {
@@ -65,7 +65,7 @@
 			}
 		})
 		r.copyRecords()
-		pause.For(ctx, pauseAfterError)
+		sleep.For(ctx, pauseAfterError)
 	}
 }
 
--- a/io/registry/registry.go
+++ b/io/registry/registry.go
@@ -15,7 +15,7 @@
 	"skylarkdeal/core/follow"
 	"skylarkdeal/core/leader"
 	"skylarkdeal/core/ring"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // Host is one host as it registers itself.
@@ -267,7 +267,7 @@
 	for ctx.Err() == nil {
 		if err := r.enter(ctx); err != nil {
 			r.up.failed(err)
-			pause.For(ctx, probeEvery)
+			sleep.For(ctx, probeEvery)
 			continue
 		}
 		r.renew(ctx)
@@ -333,7 +333,7 @@
 	running, ended := context.WithCancel(ctx)
 	defer ended()
 	slots := make(chan struct{}, maxRenewals)
-	pause.Every(running, renewEvery, func() {
+	sleep.Every(running, renewEvery, func() {
 		select {
 		case slots <- struct{}{}:
 		default:
--- a/standin/store/fault.go
+++ b/standin/store/fault.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // Faults are the switches. The zero Faults is a store that works.
@@ -78,7 +78,7 @@
 // before holds a call back, or refuses it, as the switches say.
 func (f *faults) before(ctx context.Context) error {
 	now, changed := f.watch()
-	if now.Slow > 0 && !pause.For(ctx, now.Slow) {
+	if now.Slow > 0 && !sleep.For(ctx, now.Slow) {
 		return ctx.Err()
 	}
 	for now.Pause {
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -13,7 +13,7 @@
 
 	"connectrpc.com/connect"
 
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 	"skylarkdeal/io/etcd/etcdpb/etcdpbconnect"
 )
 
@@ -107,7 +107,7 @@
 }
 
 func (s *Server) expire(ctx context.Context) {
-	pause.Every(ctx, expiryInterval, func() { s.data.expire(s.clock()) })
+	sleep.Every(ctx, expiryInterval, func() { s.data.expire(s.clock()) })
 }
 
 var errDown = connect.NewError(connect.CodeUnavailable, errors.New("etcdserver: no leader"))
--- a/standin/store/watch.go
+++ b/standin/store/watch.go
@@ -7,7 +7,7 @@
 
 	"connectrpc.com/connect"
 
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 	"skylarkdeal/io/etcd/etcdpb"
 )
 
@@ -82,7 +82,7 @@
 		}
 		silent := w.s.faults.silence() != v.silence
 		if a != nil && !silent && !f.Pause {
-			if f.Slow > 0 && !pause.For(ctx, f.Slow) {
+			if f.Slow > 0 && !sleep.For(ctx, f.Slow) {
 				return nil
 			}
 			if err := stream.Send(a); err != nil {
--- a/test/soak/caller_test.go
+++ b/test/soak/caller_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 const (
@@ -70,11 +70,11 @@
 	for ctx.Err() == nil {
 		s := k.connect()
 		if s == nil {
-			pause.For(ctx, restAfterError)
+			sleep.For(ctx, restAfterError)
 			continue
 		}
 		for ctx.Err() == nil && k.operate(s) {
-			pause.For(ctx, thinkMin+time.Duration(k.luck.Int64N(int64(thinkMax-thinkMin))))
+			sleep.For(ctx, thinkMin+time.Duration(k.luck.Int64N(int64(thinkMax-thinkMin))))
 		}
 		_ = s.conn.Close()
 	}
--- a/test/soak/plan_test.go
+++ b/test/soak/plan_test.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 	"skylarkdeal/standin/machines"
 )
 
@@ -124,7 +124,7 @@
 	began := time.Now()
 	for _, e := range es {
 		all.Go(func() {
-			if !pause.For(ctx, time.Until(began.Add(e.At))) {
+			if !sleep.For(ctx, time.Until(began.Add(e.At))) {
 				return
 			}
 			f.judge.tell("fault " + e.String())
@@ -144,7 +144,7 @@
 	}
 	l := f.link(h.name, instance)
 	m := f.machines
-	rest := func() { pause.For(ctx, e.Lasts) }
+	rest := func() { sleep.For(ctx, e.Lasts) }
 	switch e.Kind {
 	case faultTerm:
 		f.restart(h, syscall.SIGTERM, rest)
@@ -173,7 +173,7 @@
 	case faultReset:
 		for range 1 + e.N%5 {
 			l.reset()
-			pause.For(ctx, e.Lasts/5)
+			sleep.For(ctx, e.Lasts/5)
 		}
 	case faultCutOut:
 		cut(rest, []*link{l}, wayOut)
@@ -272,8 +272,8 @@
 	for n, i := range f.machines.Instances(service) {
 		f.machines.SetLag(i, d/time.Duration(n+1))
 	}
-	pause.For(ctx, d/2)
-	f.crash(primary, func() { pause.For(ctx, d) })
+	sleep.For(ctx, d/2)
+	f.crash(primary, func() { sleep.For(ctx, d) })
 	for _, i := range f.machines.Instances(service) {
 		f.machines.SetLag(i, 0)
 	}
@@ -292,7 +292,7 @@
 	began := time.Now()
 	var o arrival
 	for !o.at.After(began) {
-		if time.Since(began) > orderWithin || !pause.For(ctx, holdEvery) {
+		if time.Since(began) > orderWithin || !sleep.For(ctx, holdEvery) {
 			return
 		}
 		f.judge.mu.Lock()
@@ -300,12 +300,12 @@
 		f.judge.mu.Unlock()
 	}
 	held := min(e.Lasts, maxHeld)
-	pause.For(ctx, time.Until(o.at.Add(machines.PromoteAfter-held/2)))
+	sleep.For(ctx, time.Until(o.at.Add(machines.PromoteAfter-held/2)))
 	var ls []*link
 	for _, h := range f.hosts {
 		ls = append(ls, f.link(h.name, o.order.Instance))
 	}
-	cut(func() { pause.For(ctx, held) }, ls, wayBack)
+	cut(func() { sleep.For(ctx, held) }, ls, wayBack)
 }
 
 // graceAndMore is how long a host may take to end.
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -16,7 +16,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 	"skylarkdeal/standin/machines"
 )
 
@@ -92,7 +92,7 @@
 	}
 	f.play(ctx, s.Events)
 	j.tell("all faults have ended")
-	pause.For(ctx, settle)
+	sleep.For(ctx, settle)
 	f.serves(recovery)
 	return j
 }
