--- a/internal/slopes/main.go
+++ b/internal/scaling/main.go
@@ -1,7 +1,7 @@
-// Command slopes measures how the costs of a fleet grow with hosts, groups,
+// Command scaling measures how the costs of a fleet grow with hosts, groups,
 // sessions and documents, on one machine. script/capacity runs it.
 //
-//	go run ./internal/slopes hosts 8 16 32
+//	go run ./internal/scaling hosts 8 16 32
 //
 // Each measurement prints a table with a row for each size, and under it the
 // slope of each column by least squares.
