--- a/core/group/model_test.go
+++ b/core/group/model_test.go
@@ -88,7 +88,9 @@
 			}),
 			set: func(w *world) { w.rule = document.AcknowledgePrimary },
 		},
-		{guard: "holds the write", rules: group.Rules{HasEntry: func(group.Observation, fleet.LogPosition) bool { return true }}},
+		{guard: "holds the write", rules: group.Rules{HasEntry: func(group.Observation, fleet.LogPosition) bool {
+			return true
+		}}},
 		{guard: "fence accepted", rules: group.Rules{
 			Fenced: func(fleet.Status, error, fleet.Term) bool { return true },
 		}},
--- a/core/group/promotion.go
+++ b/core/group/promotion.go
@@ -75,7 +75,8 @@
 // the whole fleet, as Proposer makes it.
 //
 // Instances in excluded are fenced but not promoted, such as those that leave.
-func Promote(now time.Time, t Snapshot, proposer fleet.Host, excluded fleet.Set[fleet.Instance]) (*Promotion, []Command) {
+func Promote(now time.Time, t Snapshot, proposer fleet.Host,
+	excluded fleet.Set[fleet.Instance]) (*Promotion, []Command) {
 	p := &Promotion{
 		Term:     nextTerm(t),
 		Proposer: proposer,
--- a/core/group/suspect_test.go
+++ b/core/group/suspect_test.go
@@ -300,7 +300,8 @@
 	w.watch(time.Second)
 	rank := func(me fleet.Host, views ...group.View) int {
 		self := group.Observer{Host: me, DataCentre: "dc-a"}
-		return group.AssessPrimary(w.now, group.Policy{}, w.group.Snapshot(w.now), self, views, []fleet.Host{"h0", "h1", "h2"}).Rank
+		return group.AssessPrimary(w.now, group.Policy{}, w.group.Snapshot(w.now), self, views,
+			[]fleet.Host{"h0", "h1", "h2"}).Rank
 	}
 	w.leave("a")
 	w.copy()
--- a/core/leader/decide.go
+++ b/core/leader/decide.go
@@ -166,7 +166,8 @@
 // named although it led already: the platform then changes nothing, and the term that
 // the order was to lead to never comes. given is when the order was answered with
 // success, now a moment at which the instance still leads in term t.
-func (b *PrimaryState) ConfirmingRequest(i fleet.Instance, t fleet.Term, given, now time.Time) (PromotionRequest, bool) {
+func (b *PrimaryState) ConfirmingRequest(i fleet.Instance, t fleet.Term,
+	given, now time.Time) (PromotionRequest, bool) {
 	if b.settled || i != b.primary || t >= b.record.Term || given.IsZero() || now.Sub(given) < affirmAfter {
 		return PromotionRequest{}, false
 	}
--- a/core/place/cutoff_test.go
+++ b/core/place/cutoff_test.go
@@ -26,7 +26,8 @@
 				if n == "a" {
 					r, f = fleet.RolePrimary, ""
 				}
-				s.group.StatusReceived(n, s.now, s.now, fleet.Status{Instance: n, Promised: 1, Role: r, Last: s.last(n), Follows: f})
+				s.group.StatusReceived(n, s.now, s.now, fleet.Status{Instance: n, Promised: 1, Role: r,
+					Last: s.last(n), Follows: f})
 			}
 		}
 	}
--- a/core/quota/guard_test.go
+++ b/core/quota/guard_test.go
@@ -26,7 +26,8 @@
 	h := &quota.Home{}
 	h.Start(epoch, 1, quota.Share{Rate: 10, Burst: 50}, 0, 0)
 	c.Assert(h.Ask(epoch.Add(quota.GrantCountedFor), quota.Ask{Urgent: 1}).Tokens, qt.Equals, quota.Tokens(0))
-	c.Assert(h.Ask(epoch.Add(quota.GrantCountedFor+150*time.Millisecond), quota.Ask{Urgent: 5}).Tokens, qt.Equals, quota.Tokens(1))
+	c.Assert(h.Ask(epoch.Add(quota.GrantCountedFor+150*time.Millisecond), quota.Ask{Urgent: 5}).Tokens,
+		qt.Equals, quota.Tokens(1))
 }
 
 // A spender's clock is slow. By its own count a grant has some time left when
--- a/core/relay/state.go
+++ b/core/relay/state.go
@@ -79,7 +79,8 @@
 
 func (g *group) state(now time.Time) GroupState {
 	s := GroupState{
-		Service: g.name, UnavailableReason: g.able(now), Waiting: len(g.waiting), Running: len(g.running), PendingVerification: g.proofs.Len(),
+		Service: g.name, UnavailableReason: g.able(now), Waiting: len(g.waiting), Running: len(g.running),
+		PendingVerification: g.proofs.Len(),
 	}
 	s.Primary, s.Term, s.PrimaryKnown = g.belief.Primary()
 	if n, ok := g.samples.Newest(); ok {
--- a/core/relay/world_test.go
+++ b/core/relay/world_test.go
@@ -187,7 +187,8 @@
 func (w *world) dial(c *relay.Conn) {
 	n := w.instances[c.Instance]
 	n.dialled++
-	l := &link{node: n, conn: c, state: statement.TxNone, values: map[string]string{}, names: map[string]statement.Definition{}}
+	l := &link{node: n, conn: c, state: statement.TxNone, values: map[string]string{},
+		names: map[string]statement.Definition{}}
 	c.Send = func(qs []statement.Statement) {
 		for _, q := range qs {
 			w.receive(l, q)
--- a/core/session/session_test.go
+++ b/core/session/session_test.go
@@ -128,10 +128,13 @@
 	c.Assert(n.Resolve(group.Proof{Position: point(1, 29), AsOf: at(29)}).Latest(), qt.IsTrue)
 	n = n.Resolve(group.Proof{Position: point(1, 30), AsOf: at(30)})
 	c.Assert(n.Latest(), qt.IsFalse)
-	c.Assert(n.Satisfied(session.Answer{Position: point(1, 30), Role: fleet.RoleReplica}, at(40), group.Snapshot{}), qt.IsTrue)
-	c.Assert(n.Satisfied(session.Answer{Position: point(1, 29), Role: fleet.RoleReplica}, at(40), group.Snapshot{}), qt.IsFalse)
+	c.Assert(n.Satisfied(session.Answer{Position: point(1, 30), Role: fleet.RoleReplica}, at(40),
+		group.Snapshot{}), qt.IsTrue)
+	c.Assert(n.Satisfied(session.Answer{Position: point(1, 29), Role: fleet.RoleReplica}, at(40),
+		group.Snapshot{}), qt.IsFalse)
 	// The read reached the primary before the question for the point did.
-	c.Assert(n.Satisfied(session.Answer{Position: point(1, 29), Role: fleet.RolePrimary}, at(40), group.Snapshot{}), qt.IsTrue)
+	c.Assert(n.Satisfied(session.Answer{Position: point(1, 29), Role: fleet.RolePrimary}, at(40),
+		group.Snapshot{}), qt.IsTrue)
 }
 
 func TestNeedShownIsKept(t *testing.T) {
--- a/core/staleness/staleness_test.go
+++ b/core/staleness/staleness_test.go
@@ -31,7 +31,8 @@
 		for _, ms := range rapid.SliceOfN(rapid.IntRange(0, 10_000), 0, 300).Draw(t, "asked") {
 			// The log at a moment is as long as the moment is late.
 			s.Add(staleness.Sample{
-				Position: fleet.LogPosition{Term: 1, Index: fleet.LogIndex(ms)}, AskedAt: base.Add(time.Duration(ms) * time.Millisecond),
+				Position: fleet.LogPosition{Term: 1, Index: fleet.LogIndex(ms)},
+				AskedAt:  base.Add(time.Duration(ms) * time.Millisecond),
 			})
 		}
 		since := rapid.IntRange(0, 10_000).Draw(t, "since")
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -54,8 +54,9 @@
 	digest, at := h.registry.InstancesDigest()
 	r := gossip.Report{
 		Host: h.settings.Host.Name, Leaving: h.relay.Draining(), Epoch: h.peers.epoch, Seq: h.peers.seq,
-		IsReader: h.reads(), StoreUnreachable: h.reads() && !h.registry.StoreReachable(), Capacity: h.settings.Adapter.Capacity,
-		Usages: h.rates.Usage(now, whole), Catalog: h.peers.catalog, Record: h.relay.RecordRevision(),
+		IsReader: h.reads(), StoreUnreachable: h.reads() && !h.registry.StoreReachable(),
+		Capacity: h.settings.Adapter.Capacity,
+		Usages:   h.rates.Usage(now, whole), Catalog: h.peers.catalog, Record: h.relay.RecordRevision(),
 		CatalogAge: now.Sub(h.registry.CatalogReadAt()), Reachable: reached,
 		Instances: digest, InstancesAge: now.Sub(at),
 	}
--- a/internal/experiment/rates/world.go
+++ b/internal/experiment/rates/world.go
@@ -63,8 +63,9 @@
 func NewWorld(seed uint64, perDC int, dcs []fleet.DataCentre, rate, burst float64) *World {
 	w := &World{
 		random: rand.New(rand.NewPCG(seed, 1)), lend: true, dcs: dcs,
-		seats: map[quota.OwnershipID]quota.OwnershipRecord{}, left: map[quota.OwnershipID]float64{}, leases: map[fleet.Host]lease{},
-		cut: map[fleet.DataCentre]time.Duration{}, Doc: NewDoc(1, dcs, rate, burst),
+		seats: map[quota.OwnershipID]quota.OwnershipRecord{}, left: map[quota.OwnershipID]float64{},
+		leases: map[fleet.Host]lease{},
+		cut:    map[fleet.DataCentre]time.Duration{}, Doc: NewDoc(1, dcs, rate, burst),
 	}
 	for _, d := range dcs {
 		for i := range perDC {
--- a/io/grants/claims.go
+++ b/io/grants/claims.go
@@ -226,7 +226,8 @@
 // stands reports whether the lease of a record's holder stands, asking the store
 // once for all seats of one holder. A holder that is a member is taken to have
 // its lease without asking: to rest is always safe, and it costs no call.
-func (r *Runtime) stands(ctx context.Context, rec quota.OwnershipRecord, known map[quota.OwnershipRecord]bool) (bool, error) {
+func (r *Runtime) stands(ctx context.Context, rec quota.OwnershipRecord,
+	known map[quota.OwnershipRecord]bool) (bool, error) {
 	if rec.Holder == (quota.Process{}) || rec.Holder == r.process() {
 		return false, nil
 	}
--- a/io/groupmonitor/groupmonitor_test.go
+++ b/io/groupmonitor/groupmonitor_test.go
@@ -19,7 +19,8 @@
 
 // writeUntil writes through h until f accepts an acknowledged point, and
 // returns all that was acknowledged.
-func (c *cluster) writeUntil(tb testing.TB, h fleet.Host, f func(p fleet.LogPosition) bool) map[fleet.LogPosition]string {
+func (c *cluster) writeUntil(tb testing.TB, h fleet.Host,
+	f func(p fleet.LogPosition) bool) map[fleet.LogPosition]string {
 	tb.Helper()
 	acked := make(map[fleet.LogPosition]string)
 	n := 0
--- a/io/registry/follow_test.go
+++ b/io/registry/follow_test.go
@@ -174,7 +174,8 @@
 	r, got, x := joinLarge(c, s)
 	until(c, got, "a role", func() bool { return x.role != "" })
 	take := func(p follow.Part, e registry.Entry) {
-		r.ApplyPart(p, follow.PartCopy[[]registry.Entry]{Version: 9, Read: time.Now(), HasBody: true, Body: []registry.Entry{e}})
+		r.ApplyPart(p, follow.PartCopy[[]registry.Entry]{Version: 9, Read: time.Now(), HasBody: true,
+			Body: []registry.Entry{e}})
 	}
 	take(follow.PartCatalog, registry.Entry{Key: "catalog", Value: []byte("7"), Revision: 9})
 	take(follow.PartCatalog, registry.Entry{Key: "catalog", Value: []byte("rubbish"), Revision: 10})
--- a/io/registry/registry_test.go
+++ b/io/registry/registry_test.go
@@ -261,7 +261,8 @@
 		Put: []registry.Put{{Key: "our/hosts/other/1", Value: b}}, Lease: other,
 	})
 	c.Assert(err, qt.IsNil)
-	r.RequestPromotion(leader.PromotionRequest{Service: "orders", Primary: "b", Former: "a", Term: 2, Reason: leader.ReasonLeaving})
+	r.RequestPromotion(leader.PromotionRequest{Service: "orders", Primary: "b", Former: "a", Term: 2,
+		Reason: leader.ReasonLeaving})
 	until(c, t1, "the order", func() bool { return len(t1.promoted) == 1 })
 	c.Assert(s.renew(context.Background(), other), qt.ErrorIs, registry.ErrNotFound)
 	t1.get(func() {
@@ -307,7 +308,8 @@
 	const least = 500 * time.Millisecond
 	r, t1 := joinWith(c, s, 0, least)
 	until(c, t1, "the duty", func() bool { return len(t1.holds) == 1 })
-	r.RequestPromotion(leader.PromotionRequest{Service: "orders", Primary: "b", Former: "a", Term: 2, Reason: leader.ReasonUnreachable})
+	r.RequestPromotion(leader.PromotionRequest{Service: "orders", Primary: "b", Former: "a", Term: 2,
+		Reason: leader.ReasonUnreachable})
 	until(c, t1, "the record", func() bool { return len(t1.records) == 1 })
 	until(c, t1, "the order", func() bool { return len(t1.promoted) == 1 })
 	// Registrations are ended after the record, so that the last of them was renewed before that.
