--- a/core/leader/decide.go
+++ b/core/leader/decide.go
@@ -171,7 +171,9 @@
 	if b.settled || i != b.primary || t >= b.record.Term || given.IsZero() || now.Sub(given) < affirmAfter {
 		return PromotionRequest{}, false
 	}
-	return PromotionRequest{Primary: i, Former: i, Term: t, Reason: ReasonAlreadyPrimary, BaseRevision: b.record.Revision}, true
+	return PromotionRequest{
+		Primary: i, Former: i, Term: t, Reason: ReasonAlreadyPrimary, BaseRevision: b.record.Revision,
+	}, true
 }
 
 func (m InstanceInfo) before(o InstanceInfo) bool {
--- a/core/mesh/mesh.go
+++ b/core/mesh/mesh.go
@@ -50,7 +50,9 @@
 // fleet reports half as often, which halves the work of listening on its small hosts.
 var (
 	smallPace = Intervals{Report: 200 * time.Millisecond, HeardWithin: 700 * time.Millisecond}
-	largePace = Intervals{Report: 400 * time.Millisecond, Forward: 150 * time.Millisecond, HeardWithin: 1400 * time.Millisecond}
+	largePace = Intervals{
+		Report: 400 * time.Millisecond, Forward: 150 * time.Millisecond, HeardWithin: 1400 * time.Millisecond,
+	}
 )
 
 // IntervalsFor returns the pace of a fleet of n hosts.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -191,13 +191,15 @@
 		RegistrationRenewed: h.ownRenewed,
 		RegistrationLost:    h.ownLost,
 		CoordinatorChanged:  func(holds bool) { h.relay.SetCoordinator(holds) },
-		PromotionFinished:   func(o leader.PromotionRequest, given, refused bool) { h.relay.PromotionFinished(o, given, refused) },
-		StepDown:            func(o leader.PromotionRequest) { h.relay.RequestStepDown(o) },
-		Promote:             platform.NewPromotions(s.Adapter.Promotions).Promote,
-		CoordinatorDelay:    youth,
-		PromotionLeast:      s.Adapter.PromotionLeast,
-		PromotionDelay:      s.Adapter.PromotionDelay,
-		Logger:              h.log,
+		PromotionFinished: func(o leader.PromotionRequest, given, refused bool) {
+			h.relay.PromotionFinished(o, given, refused)
+		},
+		StepDown:         func(o leader.PromotionRequest) { h.relay.RequestStepDown(o) },
+		Promote:          platform.NewPromotions(s.Adapter.Promotions).Promote,
+		CoordinatorDelay: youth,
+		PromotionLeast:   s.Adapter.PromotionLeast,
+		PromotionDelay:   s.Adapter.PromotionDelay,
+		Logger:           h.log,
 	}
 }
 
