--- a/core/group/naive_test.go
+++ b/core/group/naive_test.go
@@ -11,14 +11,14 @@
 	"skylarkdeal/core/exchange"
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/group/grouptest"
-	"skylarkdeal/core/naive"
+	"skylarkdeal/core/reference"
 	"skylarkdeal/core/session"
 )
 
 // roamer is one session that writes and reads through any host, one request at
 // a time, with its token.
 type roamer struct {
-	naive   naive.Ledger
+	naive   reference.Database
 	token   session.Token
 	writing string
 	reading *read
@@ -42,7 +42,7 @@
 	}
 	r.writing, r.reading, r.since = "", nil, w.now
 	if pick(2) == 0 {
-		if p := h.group.Table(w.now).Primary; p != "" {
+		if p := h.group.Snapshot(w.now).Primary; p != "" {
 			w.written++
 			r.writing = fmt.Sprint(w.written)
 			w.send(h, p, message{kind: messageWrite, value: r.writing})
@@ -63,14 +63,14 @@
 		r.writing = ""
 	}
 	d := r.reading
-	if d == nil || !d.got || !d.need.Satisfied(d.answer, w.now, w.hosts[0].group.Table(w.now)) {
+	if d == nil || !d.got || !d.need.Satisfied(d.answer, w.now, w.hosts[0].group.Snapshot(w.now)) {
 		return nil
 	}
 	r.reads++
 	r.reading = nil
-	r.token = session.Merge(r.token, d.answer.Point)
+	r.token = session.Merge(r.token, d.answer.Position)
 	if got, want := r.certain(d.log), r.naive.Read(); !slices.Equal(got, want) {
-		return fmt.Errorf("read at %v by a %s: %v, naive: %v", d.answer.Point, d.answer.Role, got, want)
+		return fmt.Errorf("read at %v by a %s: %v, naive: %v", d.answer.Position, d.answer.Role, got, want)
 	}
 	return nil
 }
--- a/core/group/stranded_test.go
+++ b/core/group/stranded_test.go
@@ -22,12 +22,12 @@
 	c.Assert(w.judge().Cause, qt.Equals, group.CauseNone)
 
 	other := group.View{Host: "h1", DataCentre: "dc-b", Instances: []group.InstanceView{{
-		Instance: "a", Reachable: true, Term: 1, Role: fleet.RolePrimary, Last: fleet.Point{Term: 1, Position: 9},
+		Instance: "a", Reachable: true, Term: 1, Role: fleet.RolePrimary, Last: fleet.LogPosition{Term: 1, Index: 9},
 	}}}
 	w.watch(9 * time.Second)
 	c.Assert(w.judge(other).Cause, qt.Equals, group.CauseNone)
 	// Nobody reaches it: the group must not stay without a primary for ever.
-	c.Assert(w.judge().Cause, qt.Equals, group.CauseAlone)
+	c.Assert(w.judge().Cause, qt.Equals, group.CauseSoleObserver)
 	other.Instances[0].Last.Term = 0 // fenced: its last entry is of an earlier term
 	c.Assert(w.judge(other).Cause, qt.Equals, group.CauseSilent)
 }
--- a/core/group/world_check_test.go
+++ b/core/group/world_check_test.go
@@ -12,7 +12,7 @@
 // settle answers the callers whose proofs are there.
 func (w *world) settle() error {
 	for _, h := range w.hosts {
-		t := h.group.Table(w.now)
+		t := h.group.Snapshot(w.now)
 		var left []write
 		for _, x := range h.writes {
 			switch t.Acknowledge(w.rule, x.point, x.since) {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-func (w *world) settleReads(h *host, t group.Table) error {
+func (w *world) settleReads(h *host, t group.Snapshot) error {
 	var left []*read
 	for _, r := range h.reads {
 		if p, ok := t.Prove(); ok {
@@ -70,7 +70,7 @@
 func (w *world) stale(r *read) error {
 	if r.own != nil {
 		if !r.own.lost && !contains(r.log, r.own.write) {
-			return fmt.Errorf("read at %v by a %s misses its own %v", r.answer.Point, r.answer.Role, r.own.point)
+			return fmt.Errorf("read at %v by a %s misses its own %v", r.answer.Position, r.answer.Role, r.own.point)
 		}
 		return nil
 	}
@@ -80,14 +80,14 @@
 	}
 	for _, a := range w.acked {
 		if !a.lost && a.at.Before(bound) && !contains(r.log, a.write) {
-			return fmt.Errorf("read at %v by a %s misses %v", r.answer.Point, r.answer.Role, a.point)
+			return fmt.Errorf("read at %v by a %s misses %v", r.answer.Position, r.answer.Role, a.point)
 		}
 	}
 	return nil
 }
 
 func contains(log []grouptest.Entry, x write) bool {
-	i := int(x.point.Position) - 1
+	i := int(x.point.Index) - 1
 	return i < len(log) && log[i] == grouptest.Entry{Term: x.point.Term, Value: x.value}
 }
 
--- a/core/group/world_test.go
+++ b/core/group/world_test.go
@@ -55,7 +55,7 @@
 }
 
 type write struct {
-	point fleet.Point
+	point fleet.LogPosition
 	value string
 	since time.Time
 }
@@ -92,12 +92,12 @@
 	epoch    uint64
 	sent     time.Time
 	answered bool
-	order    group.Order
+	order    group.Command
 	value    string
 	read     *read
 
 	status fleet.Status
-	point  fleet.Point
+	point  fleet.LogPosition
 	role   fleet.Role
 	log    []grouptest.Entry
 	err    error
@@ -214,7 +214,7 @@
 
 func (w *world) askAll(h *host) {
 	for _, i := range w.instances {
-		h.group.Ask(i.Name, w.now)
+		h.group.StatusRequested(i.Name, w.now)
 		w.send(h, i.Name, message{kind: messageStatus})
 	}
 }
@@ -232,7 +232,7 @@
 }
 
 func (w *world) write(h *host) {
-	if p := h.group.Table(w.now).Primary; p != "" {
+	if p := h.group.Snapshot(w.now).Primary; p != "" {
 		w.written++
 		w.send(h, p, message{kind: messageWrite, value: fmt.Sprint(w.written)})
 	}
@@ -257,7 +257,7 @@
 }
 
 func (w *world) promote(h *host, anew bool) {
-	if !anew && h.promotion != nil && !h.promotion.Over() {
+	if !anew && h.promotion != nil && !h.promotion.Ended() {
 		w.dispatch(h, h.promotion.Tick(w.now))
 		return
 	}
@@ -265,16 +265,16 @@
 		return
 	}
 	h.attempts++
-	p, orders := group.Promote(w.now, h.group.Table(w.now), w.proposer(h), nil)
+	p, orders := group.Promote(w.now, h.group.Snapshot(w.now), w.proposer(h), nil)
 	h.promotion = p
 	w.dispatch(h, orders)
 }
 
 func (w *world) repair(h *host) {
-	w.dispatch(h, group.Repair(h.group.Table(w.now)))
+	w.dispatch(h, group.Repair(h.group.Snapshot(w.now)))
 }
 
-func (w *world) dispatch(h *host, orders []group.Order) {
+func (w *world) dispatch(h *host, orders []group.Command) {
 	for _, o := range orders {
 		w.send(h, o.Instance, message{kind: messageOrder, order: o})
 	}
@@ -322,7 +322,7 @@
 	return m
 }
 
-func (w *world) carryOut(i *grouptest.Instance, o group.Order) error {
+func (w *world) carryOut(i *grouptest.Instance, o group.Command) error {
 	switch o.Act {
 	case group.ActFence:
 		return i.Fence(o.Term, o.Proposer)
@@ -341,13 +341,13 @@
 	}
 	switch m.kind {
 	case messageStatus:
-		h.group.Answer(m.link.instance, w.stamp(m.sent, w.now), w.now, m.status)
+		h.group.StatusReceived(m.link.instance, w.stamp(m.sent, w.now), w.now, m.status)
 	case messageWrite:
 		if m.err == nil {
 			h.writes = append(h.writes, write{point: m.point, value: m.value, since: w.now})
 		}
 	case messageRead:
-		m.read.answer = session.Answer{Point: m.point, Role: m.role}
+		m.read.answer = session.Answer{Position: m.point, Role: m.role}
 		m.read.log, m.read.got = m.log, true
 	case messageOrder:
 		if h.promotion != nil {
--- a/core/place/cutoff_test.go
+++ b/core/place/cutoff_test.go
@@ -20,13 +20,14 @@
 	for range 40 {
 		s.now = s.now.Add(50 * time.Millisecond)
 		for _, n := range names {
-			s.group.Ask(n, s.now)
+			s.group.StatusRequested(n, s.now)
 			if left.Has(n) {
 				r, f := fleet.RoleReplica, fleet.Instance("a")
 				if n == "a" {
 					r, f = fleet.RolePrimary, ""
 				}
-				s.group.Answer(n, s.now, s.now, fleet.Status{Instance: n, Promised: 1, Role: r, Last: s.last(n), Follows: f})
+				s.group.StatusReceived(n, s.now, s.now, fleet.Status{Instance: n, Promised: 1, Role: r,
+					Last: s.last(n), Follows: f})
 			}
 		}
 	}
@@ -37,14 +38,14 @@
 // their own bookings where a reachable instance has them, and portal users what
 // is young enough; nothing is booked that can't be confirmed.
 func TestCutOffDataCentre(t *testing.T) {
-	read := func(n session.Need) place.Facts {
-		return place.Facts{Intent: exchange.IntentRead, Need: n}
+	read := func(n session.Need) place.RequestInfo {
+		return place.RequestInfo{Intent: exchange.IntentRead, Need: n}
 	}
-	own := read(session.Need{After: fleet.Some(fleet.Point{Term: 1, Position: 1})})
-	ahead := read(session.Need{After: fleet.Some(fleet.Point{Term: 2, Position: 9})})
+	own := read(session.Need{After: fleet.Some(fleet.LogPosition{Term: 1, Index: 1})})
+	ahead := read(session.Need{After: fleet.Some(fleet.LogPosition{Term: 2, Index: 9})})
 	young := read(session.Need{MaxAge: time.Second})
 	old := read(session.Need{MaxAge: 5 * time.Second})
-	write := place.Facts{Intent: exchange.IntentWrite}
+	write := place.RequestInfo{Intent: exchange.IntentWrite}
 	tests := []struct {
 		name    string
 		reached []fleet.Instance
@@ -73,7 +74,7 @@
 	}
 }
 
-func runs(s *sim, f place.Facts) fleet.Instance {
+func runs(s *sim, f place.RequestInfo) fleet.Instance {
 	c := s.choose(f)
 	if c.Action != place.ActionRun {
 		return ""
--- a/core/relay/group.go
+++ b/core/relay/group.go
@@ -7,8 +7,8 @@
 	"skylarkdeal/core/admit"
 	"skylarkdeal/core/catalog"
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/core/fresh"
 	"skylarkdeal/core/leader"
+	"skylarkdeal/core/staleness"
 	"skylarkdeal/core/statement"
 )
 
@@ -18,11 +18,11 @@
 	name    fleet.Service
 	service catalog.Service
 	// confined are the regions of the service's databases that may not be served everywhere.
-	confined  []catalog.Homes
+	confined  []catalog.AllowedRegions
 	instances map[fleet.Instance]*instance
-	belief    leader.Belief
-	proofs    leader.Proofs
-	samples   fresh.Samples
+	belief    leader.PrimaryState
+	proofs    leader.PendingAnswers
+	samples   staleness.Samples
 
 	queue   admit.Queue
 	waiting map[uint64]*operation
@@ -47,7 +47,7 @@
 	// sampledAt is when the last point of the primary was taken in.
 	sampledAt time.Time
 	// unsure is a point of the primary that waits to be proved, as the store can't prove it.
-	unsure fresh.Sample
+	unsure staleness.Sample
 	// verifiedAt is when the primary was last asked whether it is one.
 	verifiedAt time.Time
 	// ableAt is when the primary could last answer.
@@ -89,7 +89,7 @@
 			if i != nil {
 				g.drop(i, "it has another address now, or has started anew")
 				// What it has said of itself was said before that.
-				g.belief.Deposed(in.Name)
+				g.belief.AddRefusal(in.Name)
 			}
 			i = &instance{g: g, info: in, lastHeard: now, doubted: now}
 			g.instances[in.Name] = i
@@ -115,7 +115,7 @@
 			g.drop(i, "it is off the list")
 		}
 	}
-	g.belief.Listed(is)
+	g.belief.SetInstances(is)
 	g.pump()
 }
 
@@ -159,7 +159,7 @@
 	if p, _, ok := g.belief.Primary(); ok && p == n {
 		return true
 	}
-	f, _, ok := g.belief.Former()
+	f, _, ok := g.belief.FormerPrimary()
 	return ok && f == n
 }
 
@@ -169,7 +169,7 @@
 	if p, _, ok := g.belief.Primary(); ok {
 		return g.instances[p]
 	}
-	if f, _, ok := g.belief.Former(); ok {
+	if f, _, ok := g.belief.FormerPrimary(); ok {
 		return g.instances[f]
 	}
 	return nil
@@ -191,8 +191,8 @@
 				Choice: "not the primary any more", Reason: "it refuses to write", Code: code,
 			})
 		}
-		g.belief.Deposed(c.Instance)
-		g.r.cfg.Refresh()
+		g.belief.AddRefusal(c.Instance)
+		g.r.cfg.RefreshRecords()
 	default:
 	}
 }
--- a/core/relay/homes_test.go
+++ b/core/relay/homes_test.go
@@ -14,7 +14,7 @@
 
 // confine has the reads of one database, or one account, enter some regions only.
 func (w *world) confine(db catalog.Database, a fleet.Account, regions ...fleet.Region) {
-	h := catalog.Homes{}
+	h := catalog.AllowedRegions{}
 	for _, r := range regions {
 		h[r] = struct{}{}
 	}
@@ -22,13 +22,13 @@
 		routes, accounts := map[catalog.Database]catalog.Route{}, map[fleet.Account]catalog.Account{}
 		for n, r := range d.Routes {
 			if n == db {
-				r.Homes = h
+				r.AllowedRegions = h
 			}
 			routes[n] = r
 		}
 		for n, o := range d.Accounts {
 			if n == a {
-				o.Homes = h
+				o.AllowedRegions = h
 			}
 			accounts[n] = o
 		}
@@ -91,7 +91,7 @@
 func TestStatementIsNotForwardedAbroad(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
-	w.relay.SetHosts(12)
+	w.relay.SetHostCount(12)
 	told := 0
 	w.relay.SetPeers([]relay.Peer{{
 		Host: "h2", DataCentre: "sapporo", Send: func(f relay.Forward) {
@@ -118,7 +118,7 @@
 	w.instances["b"].far = true
 	w.list()
 	w.settled()
-	w.relay.HoldDuty(true)
+	w.relay.SetCoordinator(true)
 	w.confine("rush", "", "hokkaido")
 	w.list("a")
 	w.pass(500*time.Millisecond, true)
--- a/core/relay/node_test.go
+++ b/core/relay/node_test.go
@@ -16,7 +16,7 @@
 	name   fleet.Instance
 	role   fleet.Role
 	term   fleet.Term
-	point  fleet.Point
+	point  fleet.LogPosition
 	conns  []*link
 	ran    []string
 	silent bool
@@ -48,13 +48,13 @@
 	// writes is set in a transaction that only a primary takes.
 	writes bool
 	values map[string]string
-	names  map[string]statement.Shape
+	names  map[string]statement.Definition
 	closed bool
 }
 
 func (n *node) answer(l *link, a statement.Answer) statement.Answer {
 	a.State = l.state
-	a.Point = fleet.Some(n.point)
+	a.Position = fleet.Some(n.point)
 	return a
 }
 
@@ -66,7 +66,7 @@
 	a := n.run(l, q)
 	n.pending = append(n.pending, func() {
 		if !l.closed {
-			w.relay.Answered(l.conn, a)
+			w.relay.HandleAnswer(l.conn, a)
 		}
 	})
 }
@@ -99,7 +99,7 @@
 	case statement.KindSet:
 		l.values[q.Name] = q.Value
 	case statement.KindPrepare:
-		l.names[q.Name] = q.Shape
+		l.names[q.Name] = q.Definition
 	case statement.KindBegin, statement.KindBeginRead:
 		if q.Kind == statement.KindBegin && n.role != fleet.RolePrimary {
 			return n.answer(l, statement.Answer{Code: statement.CodeReadOnly})
@@ -113,7 +113,7 @@
 		if q.Term > n.term {
 			n.role, n.term = fleet.RoleReplica, q.Term
 		}
-		a.Rows = []string{fmt.Sprintf("%s %d %d %d", n.role, n.term, n.point.Term, n.point.Position)}
+		a.Rows = []string{fmt.Sprintf("%s %d %d %d", n.role, n.term, n.point.Term, n.point.Index)}
 	default:
 		return n.work(l, q)
 	}
@@ -151,7 +151,7 @@
 		l.state, l.writes = statement.TxNone, false
 	}
 	if writes && l.state == statement.TxNone || q.Kind == statement.KindCommit {
-		n.point = fleet.Point{Term: n.term, Position: n.point.Position + 1}
+		n.point = fleet.LogPosition{Term: n.term, Index: n.point.Index + 1}
 	}
 	return n.answer(l, statement.Answer{Rows: []string{"row"}, Digest: "d-" + string(n.name)})
 }
--- a/core/relay/operation.go
+++ b/core/relay/operation.go
@@ -7,7 +7,7 @@
 	"skylarkdeal/core/catalog"
 	"skylarkdeal/core/exchange"
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/core/fresh"
+	"skylarkdeal/core/staleness"
 	"skylarkdeal/core/statement"
 )
 
@@ -41,7 +41,7 @@
 	// ran is set once it was sent to any instance.
 	ran bool
 	// after is the point that the read was sent with.
-	after fleet.Option[fleet.Point]
+	after fleet.Option[fleet.LogPosition]
 	// answer waits for its proof.
 	answer *statement.Answer
 	// over is set once the caller has its answer.
@@ -75,9 +75,9 @@
 	if p != nil {
 		o.q.Name = p.name
 	}
-	o.homes.route = s.route.Homes
+	o.homes.route = s.route.AllowedRegions
 	if s.r.catalog != nil {
-		o.homes.account = s.r.catalog.Accounts[s.account].Homes
+		o.homes.account = s.r.catalog.Accounts[s.account].AllowedRegions
 	}
 	if s.instance != "" {
 		// The host that asks has seen to its homes.
@@ -134,7 +134,7 @@
 		return
 	}
 	o.sent, o.conn, o.dial = false, nil, nil
-	v := o.g.queue.Offer(now, admit.Item{
+	v := o.g.queue.Enqueue(now, admit.Item{
 		Key: o.key, Account: o.s.account, Weight: o.weight(), Deadline: o.patience(),
 		Intent: o.intent(),
 	})
@@ -192,7 +192,7 @@
 	o.g.running[o.key] = o
 	o.conn = c
 	o.tries++
-	if s, ok := o.need(); ok && !c.inst.point.Covers(s.Point) {
+	if s, ok := o.need(); ok && !c.inst.point.Covers(s.Position) {
 		c.inst.trial = o
 	}
 	c.setState(connBusy)
@@ -220,9 +220,9 @@
 			o.unready(statement.CodeLagging, statement.TxNone)
 			return
 		}
-		o.after = fleet.Option[fleet.Point]{}
+		o.after = fleet.Option[fleet.LogPosition]{}
 		if ok {
-			o.after = fleet.Some(s.Point)
+			o.after = fleet.Some(s.Position)
 		}
 	}
 	sets := len(qs)
@@ -280,9 +280,9 @@
 
 // need is the point that the instance's log has to cover, for a read on a replica, and whether
 // there is one.
-func (o *operation) need() (fresh.Sample, bool) {
+func (o *operation) need() (staleness.Sample, bool) {
 	if o.unbound() {
-		return fresh.Sample{}, false
+		return staleness.Sample{}, false
 	}
 	return o.g.needs(o)
 }
@@ -348,17 +348,17 @@
 		Choice: choice, Reason: why, Code: code, Took: o.g.r.now().Sub(o.asked), Consistency: o.route.Consistency,
 	}
 	if o.conn != nil {
-		e.Instance, e.Has = o.conn.Instance, o.conn.inst.point
+		e.Instance, e.InstancePoint = o.conn.Instance, o.conn.inst.point
 	}
 	if p, ok := o.after.Get(); ok {
-		e.Need = p
+		e.RequiredPoint = p
 	}
 	if s, ok := o.g.samples.Oldest(o.age); ok && k == EventPlace {
-		e.Age = o.g.r.now().Sub(s.Asked)
+		e.Age = o.g.r.now().Sub(s.AskedAt)
 	}
 	if o.conn != nil {
 		e.Host = o.conn.via
 	}
-	e.Slow = code != statement.CodeNone || e.Took > o.route.Target
+	e.AlwaysLog = code != statement.CodeNone || e.Took > o.route.Target
 	o.g.r.note(e)
 }
--- a/core/relay/place.go
+++ b/core/relay/place.go
@@ -5,19 +5,19 @@
 
 	"skylarkdeal/core/admit"
 	"skylarkdeal/core/catalog"
-	"skylarkdeal/core/fresh"
-	"skylarkdeal/core/ways"
+	"skylarkdeal/core/pathcost"
+	"skylarkdeal/core/staleness"
 )
 
 // needs returns the point that a read has to cover on a replica, with what it was taken from,
 // and whether it is known.
-func (g *group) needs(o *operation) (fresh.Sample, bool) {
+func (g *group) needs(o *operation) (staleness.Sample, bool) {
 	s, ok := g.samples.Oldest(o.age)
 	if !ok {
-		return fresh.Sample{}, false
+		return staleness.Sample{}, false
 	}
-	if o.route.Consistency == catalog.ConsistencySession && !s.Point.Covers(o.s.written) {
-		s.Point = o.s.written
+	if o.route.Consistency == catalog.ConsistencySession && !s.Position.Covers(o.s.written) {
+		s.Position = o.s.written
 	}
 	return s, true
 }
@@ -132,12 +132,12 @@
 	if leads && g.primary() == i {
 		return g.mayLead(o)
 	}
-	if o.lead || leads || !i.usable() || i.info.Name == g.belief.Named() {
+	if o.lead || leads || !i.usable() || i.info.Name == g.belief.DesignatedPrimary() {
 		return false
 	}
 	g.readAt = now
 	s, ok := g.needs(o)
-	return ok && i.joined(s) && (i.point.Covers(s.Point) || i.mayTry(now, o))
+	return ok && i.joined(s) && (i.point.Covers(s.Position) || i.mayTry(now, o))
 }
 
 // way returns how an operation can reach an instance now, false while the link to its holder
@@ -145,12 +145,12 @@
 func (g *group) way(now time.Time, i *instance, o *operation) (way, bool) {
 	w := way{inst: i}
 	leads := g.leads(i.info.Name)
-	about := ways.Way{
-		Work: i.work, Ahead: i.busy(), Slots: i.info.Slots, Far: !i.local(), Leads: !o.lead && leads,
+	about := pathcost.Path{
+		Latency: i.work, Running: i.busy(), Slots: i.info.Slots, Remote: !i.local(), PrimaryRead: !o.lead && leads,
 		Silent: !g.r.reaches(now, i), Cold: !o.lead && i.isCold(now),
 	}
 	if now.Sub(i.workAt) > freshWork {
-		about.Work = 0
+		about.Latency = 0
 	}
 	p, over := g.r.holder(i)
 	if over && o.s.instance == "" && g.r.allow(o.homes, p.DataCentre) {
@@ -162,7 +162,7 @@
 		if !i.bears(now) {
 			return way{}, false
 		}
-		w.conn, about.Steps = i.idle(o.s.account, o.s, o.prep)
+		w.conn, about.SetupStatements = i.idle(o.s.account, o.s, o.prep)
 		about.Connect = w.conn == nil
 	}
 	w.cost = about.Cost(o.route.Target)
--- a/core/relay/prove.go
+++ b/core/relay/prove.go
@@ -4,20 +4,20 @@
 	"time"
 
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/core/fresh"
 	"skylarkdeal/core/leader"
+	"skylarkdeal/core/staleness"
 	"skylarkdeal/core/statement"
 )
 
 // evidence takes in what every answer tells: where the instance's log stands.
 func (g *group) evidence(c *Conn, asked time.Time, a statement.Answer) {
-	p, ok := a.Point.Get()
+	p, ok := a.Position.Get()
 	if !ok {
 		return
 	}
 	now := g.r.now()
 	c.inst.point = p
-	g.belief.Seen(c.Instance, p.Term)
+	g.belief.AddLogTerm(c.Instance, p.Term)
 	n, t, ok := g.belief.Primary()
 	if !ok || n != c.Instance {
 		return
@@ -28,11 +28,11 @@
 	if asked.Before(g.settledAt) {
 		return
 	}
-	s := fresh.Sample{Point: p, Asked: asked, Reign: t}
+	s := staleness.Sample{Position: p, AskedAt: asked, PrimaryTerm: t}
 	switch {
-	case g.r.lease.Certain(now):
+	case g.r.lease.RecordsCurrent(now):
 		g.sampled(c.Instance, s)
-	case g.unsure.Asked.IsZero():
+	case g.unsure.AskedAt.IsZero():
 		g.unsure = s
 	}
 }
@@ -48,29 +48,29 @@
 // without a point that is young enough, although replicas have all that they need.
 func (g *group) affirm(now time.Time) {
 	s := g.unsure
-	if s.Asked.IsZero() {
+	if s.AskedAt.IsZero() {
 		return
 	}
 	p, t, ok := g.belief.Primary()
 	switch {
-	case !ok || t != s.Reign || now.Sub(s.Asked) > unsureFor:
-		g.unsure = fresh.Sample{}
-	case !g.sole().Before(s.Asked):
-		g.unsure = fresh.Sample{}
+	case !ok || t != s.PrimaryTerm || now.Sub(s.AskedAt) > unsureFor:
+		g.unsure = staleness.Sample{}
+	case !g.sole().Before(s.AskedAt):
+		g.unsure = staleness.Sample{}
 		g.sampled(p, s)
 	default:
-		g.doubt = later(g.doubt, s.Asked)
+		g.doubt = later(g.doubt, s.AskedAt)
 		g.vouch(now)
 	}
 }
 
 // sampled takes in a point of the primary.
-func (g *group) sampled(i fleet.Instance, s fresh.Sample) {
+func (g *group) sampled(i fleet.Instance, s staleness.Sample) {
 	g.samples.Add(s)
 	if g.changing(g.r.now()) && g.sampledAt.Before(g.changedAt) {
 		g.r.note(Event{
-			Kind: EventLeader, Service: g.name, Instance: i, Has: s.Point, Term: s.Reign,
-			Choice: "let reads go by its point", Reason: "the first since the order", Age: g.r.now().Sub(s.Asked),
+			Kind: EventLeader, Service: g.name, Instance: i, InstancePoint: s.Position, Term: s.PrimaryTerm,
+			Choice: "let reads go by its point", Reason: "the first since the order", Age: g.r.now().Sub(s.AskedAt),
 		})
 	}
 	g.sampledAt = g.r.now()
@@ -94,7 +94,7 @@
 	if !asked.Before(c.inst.termAt) {
 		g.believe(c.inst, asked, s)
 	}
-	proved, refuted := g.proofs.Evidence(c.Instance, asked, s.Term)
+	proved, refuted := g.proofs.AddStatus(c.Instance, asked, s.Term)
 	for _, cl := range proved {
 		g.proved(cl)
 	}
@@ -109,21 +109,21 @@
 	if i.term != s.Term && g.changing(now) {
 		g.r.note(Event{
 			Kind: EventInstance, Service: g.name, Instance: i.info.Name, Term: s.Term, Received: s.Received,
-			Has: i.point, Choice: "in a new term", Reason: "it says that it is a " + string(s.Role),
+			InstancePoint: i.point, Choice: "in a new term", Reason: "it says that it is a " + string(s.Role),
 		})
 	}
 	i.received, i.leads, i.term = s.Received, s.Role == fleet.RolePrimary, s.Term
 	i.toldAt, i.termAt = now, asked
 	if p, t, ok := g.belief.Primary(); ok && i.info.Name != p && s.Term > t {
 		// The record of the order that it follows is still to be read.
-		g.r.cfg.Refresh()
+		g.r.cfg.RefreshRecords()
 	}
-	if !g.belief.Answered(i.info.Name, s) {
+	if !g.belief.AddStatus(i.info.Name, s) {
 		return
 	}
 	g.aliveAt, g.settledAt = now, now
 	g.r.note(Event{
-		Kind: EventLeader, Service: g.name, Instance: i.info.Name, Term: s.Term, Has: i.point, Received: s.Received,
+		Kind: EventLeader, Service: g.name, Instance: i.info.Name, Term: s.Term, InstancePoint: i.point, Received: s.Received,
 		Choice: "use as the primary", Reason: "it says that it leads", Age: now.Sub(g.changedAt),
 	})
 }
@@ -146,9 +146,9 @@
 		return
 	}
 	now := g.r.now()
-	v, term, ask := g.belief.Judge(c.Instance, g.r.lease.Certain(now), g.others(c.Instance))
+	v, term, ask := g.belief.VerifyAnswer(c.Instance, g.r.lease.RecordsCurrent(now), g.others(c.Instance))
 	switch {
-	case v == leader.VerdictProved || v == leader.VerdictAsk && len(ask) == 0:
+	case v == leader.VerdictVerified || v == leader.VerdictAsk && len(ask) == 0:
 		g.confirmed(o, a)
 	case v == leader.VerdictRefuted:
 		o.answer = &a
@@ -156,7 +156,7 @@
 	default:
 		o.answer = &a
 		g.unproven[o.key] = o
-		g.proofs.Add(leader.Claim{
+		g.proofs.Add(leader.PendingAnswer{
 			Key: o.key, Instance: c.Instance, Term: term, At: now, Deadline: now.Add(proofPatience),
 		}, ask)
 		g.askFor(now)
@@ -174,7 +174,7 @@
 	if o.lead || g.primary() != c.inst || g.sole().Before(o.age) {
 		return false
 	}
-	p, ok := a.Point.Get()
+	p, ok := a.Position.Get()
 	return ok && p.Covers(o.s.written)
 }
 
@@ -207,25 +207,25 @@
 
 // confirmed gives a proved answer.
 func (g *group) confirmed(o *operation, a statement.Answer) {
-	if p, ok := a.Point.Get(); ok && o.writes && !o.s.written.Covers(p) {
+	if p, ok := a.Position.Get(); ok && o.writes && !o.s.written.Covers(p) {
 		o.s.written = p
 	}
 	o.finish(a)
 }
 
-func (g *group) proved(c leader.Claim) {
+func (g *group) proved(c leader.PendingAnswer) {
 	o := g.unproven[c.Key]
 	delete(g.unproven, c.Key)
 	if o == nil || o.over {
 		return
 	}
-	if p, ok := o.answer.Point.Get(); ok && !o.sentAt.Before(g.settledAt) {
-		g.sampled(c.Instance, fresh.Sample{Point: p, Asked: o.sentAt, Reign: c.Term})
+	if p, ok := o.answer.Position.Get(); ok && !o.sentAt.Before(g.settledAt) {
+		g.sampled(c.Instance, staleness.Sample{Position: p, AskedAt: o.sentAt, PrimaryTerm: c.Term})
 	}
 	g.confirmed(o, *o.answer)
 }
 
-func (g *group) unproved(c leader.Claim, why string) {
+func (g *group) unproved(c leader.PendingAnswer, why string) {
 	o := g.unproven[c.Key]
 	delete(g.unproven, c.Key)
 	if o == nil || o.over {
--- a/core/relay/reign.go
+++ b/core/relay/reign.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/core/fresh"
+	"skylarkdeal/core/staleness"
 )
 
 // sole returns the moment up to which the instance that is used as the primary is known to
@@ -19,11 +19,11 @@
 	if p, t, ok := g.belief.Primary(); ok {
 		return later(known, g.disclaimed(g.others(p), t))
 	}
-	f, t, ok := g.belief.Former()
+	f, t, ok := g.belief.FormerPrimary()
 	if !ok {
 		return time.Time{}
 	}
-	named := g.belief.Named()
+	named := g.belief.DesignatedPrimary()
 	rest := make([]fleet.Instance, 0, len(g.instances))
 	for _, n := range g.others(f) {
 		if n != named {
@@ -101,8 +101,8 @@
 // term. A replica that hasn't heard of the change covers that point by the former primary's
 // history, whatever either of them lacks of the other's. A point of the new term is in no other
 // history; for one of before, the replica has to have said itself that it is in the new term.
-func (i *instance) joined(s fresh.Sample) bool {
-	return s.Point.Term >= s.Reign || i.term >= s.Reign
+func (i *instance) joined(s staleness.Sample) bool {
+	return s.Position.Term >= s.PrimaryTerm || i.term >= s.PrimaryTerm
 }
 
 // followPart makes the pause between two questions whether a replica has joined grow with the time
@@ -118,7 +118,7 @@
 		return
 	}
 	age := now.Sub(g.settledAt)
-	if s, ok := g.samples.Newest(); ok && s.Point.Term >= t && age > sampleFor {
+	if s, ok := g.samples.Newest(); ok && s.Position.Term >= t && age > sampleFor {
 		return
 	}
 	pause := max(settleEvery, age/followPart)
--- a/core/relay/reign_test.go
+++ b/core/relay/reign_test.go
@@ -19,7 +19,7 @@
 	c := qt.New(t)
 	w := acquainted(c)
 	a, b, other := w.instances["a"], w.instances["b"], w.instances["c"]
-	a.point.Position = 9
+	a.point.Index = 9
 	w.relay.LeaseLost()
 	w.pass(1350*time.Millisecond, false)
 	b.hold, other.hold = true, true
@@ -31,15 +31,15 @@
 	c.Assert(len(b.ran) > 0, qt.IsTrue, qt.Commentf("no read on b"))
 	late := b.pending
 	b.pending, b.hold, other.hold = nil, false, false
-	w.promote().point.Position = 9
+	w.promote().point.Index = 9
 	other.term, a.term, a.role = 2, 2, fleet.RoleReplica
-	w.relay.Recorded(toSuccessor)
+	w.relay.AddRecord(toSuccessor)
 	for _, f := range late[1:] {
 		f()
 	}
 	w.pass(70*time.Millisecond, false)
 	g := w.relay.State().Groups[0]
-	c.Assert(g.Settled && g.Primary == "b", qt.IsTrue)
+	c.Assert(g.PrimaryKnown && g.Primary == "b", qt.IsTrue)
 	late[0]()
 	w.pass(200*time.Millisecond, false)
 	ran, _ := w.reads("stock", 50*time.Millisecond, false)
@@ -52,12 +52,12 @@
 	c := qt.New(t)
 	w, late := lateWord(c)
 	for range 100 {
-		if w.relay.State().Groups[0].Settled {
+		if w.relay.State().Groups[0].PrimaryKnown {
 			break
 		}
 		w.pass(10*time.Millisecond, true)
 	}
-	c.Assert(w.relay.State().Groups[0].Settled, qt.IsTrue)
+	c.Assert(w.relay.State().Groups[0].PrimaryKnown, qt.IsTrue)
 	late()
 	w.deliver()
 	for range 2 {
@@ -77,8 +77,8 @@
 			w := newWorld(c).settled()
 			w.relay.LeaseLost()
 			w.pass(1500*time.Millisecond, false)
-			w.promote().point = fleet.Point{Term: 2, Position: 9}
-			w.relay.Recorded(leader.Record{Service: service, Term: 3, Primary: "c", Former: "a", Revision: 9})
+			w.promote().point = fleet.LogPosition{Term: 2, Index: 9}
+			w.relay.AddRecord(leader.Record{Service: service, Term: 3, Primary: "c", Former: "a", Revision: 9})
 			w.pass(100*time.Millisecond, true)
 			w.open("rush", "key-1").do(k, "", "item")
 			w.pass(100*time.Millisecond, true)
@@ -99,7 +99,7 @@
 		w.pass(d, true)
 	}
 	w.pass(3500*time.Millisecond, false)
-	w.promote().point = fleet.Point{Term: 2, Position: 9}
+	w.promote().point = fleet.LogPosition{Term: 2, Index: 9}
 	ran, _ := w.reads("rush", 100*time.Millisecond, false)
 	c.Assert(ran["a"], qt.Equals, 0)
 }
@@ -111,7 +111,7 @@
 	w := newWorld(c).settled()
 	a := w.instances["a"]
 	w.cut(a)
-	a.role, a.point = fleet.RoleReplica, fleet.Point{}
+	a.role, a.point = fleet.RoleReplica, fleet.LogPosition{}
 	is := []catalog.Instance{}
 	for _, n := range []fleet.Instance{"a", "b", "c"} {
 		is = append(is, catalog.Instance{
@@ -120,7 +120,7 @@
 		})
 	}
 	is[0].Started = 99
-	w.relay.Listed(is, w.now)
+	w.relay.SetInstances(is, w.now)
 	ran, _ := w.reads("rush", 100*time.Millisecond, true)
 	c.Assert(ran["a"], qt.Equals, 0)
 }
@@ -131,7 +131,7 @@
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.pass(4*time.Second, false)
-	w.promote().point = fleet.Point{Term: 2, Position: 6}
+	w.promote().point = fleet.LogPosition{Term: 2, Index: 6}
 	w.reads("rush", 400*time.Millisecond, false)
 	x := w.open("rush", "key-1")
 	x.do(statement.KindWrite, "", "item data")
@@ -145,7 +145,7 @@
 func TestReplicaThatDoesNotJoinIsAskedLessAndLess(t *testing.T) {
 	c := qt.New(t)
 	w := acquainted(c)
-	w.relay.Recorded(toSuccessor)
+	w.relay.AddRecord(toSuccessor)
 	w.pass(1100*time.Millisecond, true)
 	w.promote()
 	w.pass(200*time.Millisecond, true)
@@ -164,7 +164,7 @@
 	w := newWorld(c).settled()
 	w.instances["b"].silent = true
 	w.cut(w.instances["b"])
-	w.relay.Recorded(toSuccessor)
+	w.relay.AddRecord(toSuccessor)
 	ran, _ := w.reads("rush", 100*time.Millisecond, true)
 	c.Assert(ran["a"], qt.Equals, 1)
 }
@@ -176,7 +176,7 @@
 	w := newWorld(c).settled()
 	w.pass(4*time.Second, false)
 	w.instances["c"].role, w.instances["c"].term = fleet.RolePrimary, 2
-	w.relay.Recorded(toSuccessor)
+	w.relay.AddRecord(toSuccessor)
 	w.pass(time.Second, false)
 	ran, _ := w.reads("rush", 100*time.Millisecond, false)
 	c.Assert(ran["a"], qt.Equals, 0)
@@ -197,7 +197,7 @@
 	w.open("rush", "key-1").do(statement.KindRead, "", "first")
 	w.pass(20*time.Millisecond, false)
 	c.Assert(b.pending, qt.Not(qt.HasLen), 0)
-	w.promote().point = fleet.Point{Term: 2, Position: 6}
+	w.promote().point = fleet.LogPosition{Term: 2, Index: 6}
 	w.pass(20*time.Millisecond, false)
 	w.open("rush", "key-1").do(statement.KindRead, "", "second")
 	b.hold = false
@@ -211,7 +211,7 @@
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.pass(4*time.Second, false)
-	w.promote().point = fleet.Point{Term: 2, Position: 6}
+	w.promote().point = fleet.LogPosition{Term: 2, Index: 6}
 	w.pass(time.Second, false)
 	a := w.instances["a"]
 	x := w.open("rush", "key-1")
--- a/core/relay/tick.go
+++ b/core/relay/tick.go
@@ -66,7 +66,7 @@
 		return
 	}
 	for _, o := range g.waitingInOrder() {
-		if why, after := g.hopeless(now, o); why != "" && g.queue.Withdraw(o.key) {
+		if why, after := g.hopeless(now, o); why != "" && g.queue.Remove(o.key) {
 			delete(g.waiting, o.key)
 			o.refuse(statement.CodeBusy, why, after)
 		}
@@ -154,7 +154,7 @@
 
 // askFor asks the instances whose word is missing for a proof.
 func (g *group) askFor(now time.Time) {
-	for n, after := range g.proofs.Asked() {
+	for n, after := range g.proofs.Awaited() {
 		i := g.instances[n]
 		if i == nil || !i.askedAt.Before(after) {
 			continue
@@ -253,7 +253,7 @@
 	if _, _, ok := g.belief.Primary(); ok || now.Sub(g.verifiedAt) < settleEvery {
 		return
 	}
-	i := g.instances[g.belief.Named()]
+	i := g.instances[g.belief.DesignatedPrimary()]
 	if i == nil {
 		return
 	}
@@ -266,7 +266,7 @@
 	if now.Sub(g.readAt) > sampleFor {
 		return
 	}
-	if s, ok := g.samples.Newest(); ok && now.Sub(s.Asked) < sampleAge {
+	if s, ok := g.samples.Newest(); ok && now.Sub(s.AskedAt) < sampleAge {
 		return
 	}
 	n, _, ok := g.belief.Primary()
--- a/core/relay/world_test.go
+++ b/core/relay/world_test.go
@@ -26,7 +26,7 @@
 	relay *relay.Relay
 	// instances by name, in the order of their making.
 	instances map[fleet.Instance]*node
-	orders    []leader.Order
+	orders    []leader.PromotionRequest
 	events    []relay.Event
 	refreshed int
 	returned  int
@@ -43,7 +43,7 @@
 	d.Revision++
 	change(&d)
 	w.laid = &d
-	w.relay.Adopt(&d)
+	w.relay.SetCatalog(&d)
 }
 
 // evacuate has operators evacuate data centres, and no others.
@@ -77,14 +77,14 @@
 			}
 			return 0, true
 		},
-		Return:      func(fleet.Account) { w.returned++ },
-		ParseStatus: parseStatus,
-		Refresh:     func() { w.refreshed++ },
-		Order:       func(o leader.Order) { w.orders = append(w.orders, o) },
-		Note:        func(e relay.Event) { w.events = append(w.events, e) },
+		Refund:           func(fleet.Account) { w.returned++ },
+		ParseStatus:      parseStatus,
+		RefreshRecords:   func() { w.refreshed++ },
+		RequestPromotion: func(o leader.PromotionRequest) { w.orders = append(w.orders, o) },
+		LogEvent:         func(e relay.Event) { w.events = append(w.events, e) },
 	})
 	for n, name := range []fleet.Instance{"a", "b", "c"} {
-		i := &node{name: name, role: fleet.RoleReplica, term: 1, point: fleet.Point{Term: 1, Position: 5}}
+		i := &node{name: name, role: fleet.RoleReplica, term: 1, point: fleet.LogPosition{Term: 1, Index: 5}}
 		if n == 0 {
 			i.role = fleet.RolePrimary
 		}
@@ -92,8 +92,8 @@
 	}
 	w.now = w.now.Add(age)
 	w.laid = w.catalog(1)
-	w.relay.Adopt(w.laid)
-	w.relay.SetHosts(1)
+	w.relay.SetCatalog(w.laid)
+	w.relay.SetHostCount(1)
 	w.list()
 	w.renew()
 	return w
@@ -139,12 +139,12 @@
 			Cold: n.cold,
 		})
 	}
-	w.relay.Listed(is, w.now)
+	w.relay.SetInstances(is, w.now)
 }
 
 // instancesOf makes one instance of another service, which answers as the primary.
 func (w *world) instancesOf(s fleet.Service, name fleet.Instance) []catalog.Instance {
-	w.instances[name] = &node{name: name, role: fleet.RolePrimary, term: 1, point: fleet.Point{Term: 1, Position: 5}}
+	w.instances[name] = &node{name: name, role: fleet.RolePrimary, term: 1, point: fleet.LogPosition{Term: 1, Index: 5}}
 	w.extra = append(w.extra, catalog.Instance{
 		Name: name, Service: s, Address: "10.0.0.1:" + string(name), DataCentre: "obihiro", Slots: 2,
 		Role: fleet.RolePrimary,
@@ -187,7 +187,8 @@
 func (w *world) dial(c *relay.Conn) {
 	n := w.instances[c.Instance]
 	n.dialled++
-	l := &link{node: n, conn: c, state: statement.TxNone, values: map[string]string{}, names: map[string]statement.Shape{}}
+	l := &link{node: n, conn: c, state: statement.TxNone, values: map[string]string{},
+		names: map[string]statement.Definition{}}
 	c.Send = func(qs []statement.Statement) {
 		for _, q := range qs {
 			w.receive(l, q)
@@ -199,11 +200,11 @@
 	}
 	if n.refuse != "" {
 		code := n.refuse
-		n.pending = append(n.pending, func() { w.relay.Turned(c, code, "") })
+		n.pending = append(n.pending, func() { w.relay.ConnectRefused(c, code, "") })
 		return
 	}
 	n.conns = append(n.conns, l)
-	n.pending = append(n.pending, func() { w.relay.Connected(c, n.answer(l, statement.Answer{})) })
+	n.pending = append(n.pending, func() { w.relay.ConnOpened(c, n.answer(l, statement.Answer{})) })
 }
 
 // flush delivers answers, later ones of the same moment too.
@@ -226,7 +227,7 @@
 	if len(a.Rows) != 1 {
 		return s, false
 	}
-	_, err := fmt.Sscanf(a.Rows[0], "%s %d %d %d", &s.Role, &s.Term, &s.Received.Term, &s.Received.Position)
+	_, err := fmt.Sscanf(a.Rows[0], "%s %d %d %d", &s.Role, &s.Term, &s.Received.Term, &s.Received.Index)
 	return s, err == nil
 }
 
@@ -243,11 +244,11 @@
 
 func (w *world) open(d catalog.Database, k catalog.Key) *caller {
 	c := &caller{w: w}
-	c.s = w.relay.Open(relay.Link{
-		Started: func() { c.started = true },
-		Answer:  func(a statement.Answer) { c.answers = append(c.answers, a) },
-		Reject:  func(code statement.Code, _ string) { c.code, c.closed = code, true },
-		Close:   func() { c.closed = true },
+	c.s = w.relay.OpenSession(relay.CallerConn{
+		Accept: func() { c.started = true },
+		Answer: func(a statement.Answer) { c.answers = append(c.answers, a) },
+		Reject: func(code statement.Code, _ string) { c.code, c.closed = code, true },
+		Close:  func() { c.closed = true },
 	})
 	c.s.Start(d, k)
 	return c
@@ -260,7 +261,7 @@
 	q := statement.Statement{ID: id, Kind: k, Name: name, Text: text, Value: text}
 	if k == statement.KindPrepare {
 		q.Value, q.Text = "", ""
-		q.Shape = statement.Shape{Writes: strings.HasPrefix(text, "w"), Text: text}
+		q.Definition = statement.Definition{Writes: strings.HasPrefix(text, "w"), Text: text}
 	}
 	c.s.Query(q)
 	c.w.deliver()
@@ -294,7 +295,7 @@
 	for _, l := range slices.Clone(n.conns) {
 		if !l.closed {
 			l.closed = true
-			w.relay.Lost(l.conn, errReset)
+			w.relay.ConnClosed(l.conn, errReset)
 		}
 	}
 	n.conns = nil
--- a/core/statement/statement.go
+++ b/core/statement/statement.go
@@ -36,8 +36,8 @@
 	KindStepDown Kind = "step-down"
 )
 
-// Shape is what a prepared statement does: two with equal shapes are the same.
-type Shape struct {
+// Definition is what a prepared statement does: two with equal shapes are the same.
+type Definition struct {
 	Writes bool
 	Text   string
 }
@@ -50,14 +50,14 @@
 	Name string
 	// Value is the new value of a KindSet.
 	Value string
-	// Shape is that of a KindPrepare.
-	Shape Shape
+	// Definition is that of a KindPrepare.
+	Definition Definition
 	// Text is what follows the kind of a read or write, or the name of an execute,
 	// as the caller sent it.
 	Text string
 	// After is the point that the instance's log has to cover for a read or the
 	// begin of a transaction; else it refuses to run it.
-	After fleet.Option[fleet.Point]
+	After fleet.Option[fleet.LogPosition]
 	// Term is that of a KindStepDown.
 	Term fleet.Term
 }
@@ -120,8 +120,8 @@
 	// RetryAfter is when the caller had best come back; zero gives no hint.
 	RetryAfter time.Duration
 	State      TxState
-	// Point is how far the instance's log reached.
-	Point fleet.Option[fleet.Point]
+	// Position is how far the instance's log reached.
+	Position fleet.Option[fleet.LogPosition]
 }
 
 // Status is what an instance says of itself when it is asked.
@@ -129,5 +129,5 @@
 	Role fleet.Role
 	Term fleet.Term
 	// Received is the end of the instance's log.
-	Received fleet.Point
+	Received fleet.LogPosition
 }
--- a/internal/edit/edit.go
+++ b/internal/edit/edit.go
@@ -13,7 +13,7 @@
 
 	"skylarkdeal/core/document"
 	"skylarkdeal/core/fleet"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 	"skylarkdeal/io/etcd"
 )
 
@@ -125,7 +125,7 @@
 	if v.Revision == 0 {
 		return Stored{Service: s}
 	}
-	stamp, text := document.Unseal(v.Value)
+	stamp, text := document.SplitStamp(v.Value)
 	return Stored{
 		Service: s, Version: document.VersionAt(v.Value, uint64(v.Revision)), Revision: v.Revision,
 		Stamp: stamp, Text: text,
@@ -205,5 +205,5 @@
 	if e.Sleep != nil {
 		return e.Sleep(ctx, d)
 	}
-	return pause.For(ctx, d)
+	return sleep.For(ctx, d)
 }
--- a/internal/load/session.go
+++ b/internal/load/session.go
@@ -13,7 +13,7 @@
 	"skylarkdeal/core/ring"
 	"skylarkdeal/internal/address"
 	"skylarkdeal/internal/load/check"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // use is what one of a session's connections is for. A session that writes on
@@ -51,7 +51,7 @@
 	mode    pgx.QueryExecMode
 
 	conns map[use]*link
-	token fleet.Point
+	token fleet.LogPosition
 	pause time.Duration
 	// key is the session's own key, number what was acknowledged under it.
 	key      string
@@ -168,7 +168,7 @@
 	if s.pause == 0 {
 		return nil
 	}
-	if !pause.For(ctx, time.Duration(s.rng.Int64N(int64(s.pause)))) {
+	if !sleep.For(ctx, time.Duration(s.rng.Int64N(int64(s.pause)))) {
 		return ctx.Err()
 	}
 	return nil
@@ -188,10 +188,10 @@
 }
 
 // shown returns the token that the host showed last on l.
-func (l *link) shown() fleet.Point {
-	p, err := fleet.ParsePoint(l.PgConn().ParameterStatus(tokenParameter))
+func (l *link) shown() fleet.LogPosition {
+	p, err := fleet.ParseLogPosition(l.PgConn().ParameterStatus(tokenParameter))
 	if err != nil {
-		return fleet.Point{}
+		return fleet.LogPosition{}
 	}
 	return p
 }
--- a/io/spread/spread.go
+++ b/io/docsync/docsync.go
@@ -1,8 +1,8 @@
-// Package spread keeps the documents in effect on one host: it asks peers at the
+// Package docsync keeps the documents in effect on one host: it asks peers at the
 // start, follows the store where this host is its data centre's watcher, hands
 // changes on to other hosts, and compares with random peers to repair what was
 // lost on the way.
-package spread
+package docsync
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/journal"
 	"skylarkdeal/core/ring"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 	"skylarkdeal/io/etcd"
 	"skylarkdeal/io/host/hostpb"
 )
@@ -96,7 +96,7 @@
 	watching  atomic.Bool
 
 	mu       sync.Mutex
-	table    document.Table
+	table    document.Documents
 	sum      uint64
 	problem  string
 	conflict map[fleet.Service]bool
@@ -212,7 +212,7 @@
 		}
 	}
 	if len(news) > 0 {
-		s.sum = s.table.Sum()
+		s.sum = s.table.Digest()
 	}
 	return news, current
 }
@@ -245,7 +245,7 @@
 
 // sleep waits from half of d to one and a half and reports whether ctx goes on.
 func (s *Spread) sleep(ctx context.Context, d time.Duration) bool {
-	return pause.For(ctx, time.Duration(float64(d)*(0.5+rand.Float64())))
+	return sleep.For(ctx, time.Duration(float64(d)*(0.5+rand.Float64())))
 }
 
 func sortedKeys(m map[fleet.Service]*document.Document) []fleet.Service {
--- a/io/forward/forward.go
+++ b/io/forward/forward.go
@@ -35,9 +35,9 @@
 	// Request and Reply are called with each message.
 	Request func(f relay.Forward)
 	Reply   func(stream uint64, a statement.Answer)
-	// Follow and News are called with what hosts tell each other of the store.
-	Follow func(f Follow)
-	News   func(n News)
+	// Follow and StoreUpdate are called with what hosts tell each other of the store.
+	Follow      func(f Follow)
+	StoreUpdate func(n StoreUpdate)
 	// Ping is called with a question for a sign of life, or with its answer.
 	Ping func(answer bool)
 }
@@ -67,9 +67,9 @@
 	case *forwardpb.Frame_Reply:
 		r.Reply(k.Reply.GetStream(), answer(k.Reply))
 	case *forwardpb.Frame_Follow:
-		r.Follow(Follow{Sent: fromMoment(k.Follow.GetSent()), Whole: k.Follow.GetWhole()})
+		r.Follow(Follow{Sent: fromMoment(k.Follow.GetSent()), Full: k.Follow.GetWhole()})
 	case *forwardpb.Frame_News:
-		r.News(news(k.News))
+		r.StoreUpdate(news(k.News))
 	case *forwardpb.Frame_Ping:
 		r.Ping(k.Ping.GetAnswer())
 	default:
@@ -106,7 +106,7 @@
 	for _, q := range f.Statements {
 		m.Statements = append(m.Statements, &forwardpb.Statement{
 			Id: string(q.ID), Kind: string(q.Kind), Name: q.Name, Value: q.Value,
-			Writes: q.Shape.Writes, Shape: q.Shape.Text, Text: q.Text, After: toPoint(q.After),
+			Writes: q.Definition.Writes, Shape: q.Definition.Text, Text: q.Text, After: toPoint(q.After),
 			Term: uint64(q.Term),
 		})
 	}
@@ -123,7 +123,7 @@
 	for _, q := range m.GetStatements() {
 		f.Statements = append(f.Statements, statement.Statement{
 			ID: statement.ID(q.GetId()), Kind: statement.Kind(q.GetKind()), Name: q.GetName(), Value: q.GetValue(),
-			Shape: statement.Shape{Writes: q.GetWrites(), Text: q.GetShape()}, Text: q.GetText(),
+			Definition: statement.Definition{Writes: q.GetWrites(), Text: q.GetShape()}, Text: q.GetText(),
 			After: fromPoint(q.GetAfter()), Term: fleet.Term(q.GetTerm()),
 		})
 	}
@@ -134,7 +134,7 @@
 func AppendReply(b []byte, stream uint64, a statement.Answer) []byte {
 	m := &forwardpb.Reply{
 		Stream: stream, Rows: a.Rows, Digest: a.Digest, Code: string(a.Code), Detail: a.Detail,
-		RetryAfterMs: uint32(a.RetryAfter.Milliseconds()), State: string(a.State), Point: toPoint(a.Point),
+		RetryAfterMs: uint32(a.RetryAfter.Milliseconds()), State: string(a.State), Point: toPoint(a.Position),
 	}
 	return appendFrame(b, &forwardpb.Frame{Kind: &forwardpb.Frame_Reply{Reply: m}})
 }
@@ -143,23 +143,23 @@
 	return statement.Answer{
 		Rows: m.GetRows(), Digest: m.GetDigest(), Code: statement.Code(m.GetCode()), Detail: m.GetDetail(),
 		RetryAfter: time.Duration(m.GetRetryAfterMs()) * time.Millisecond,
-		State:      statement.TxState(m.GetState()), Point: fromPoint(m.GetPoint()),
+		State:      statement.TxState(m.GetState()), Position: fromPoint(m.GetPoint()),
 	}
 }
 
-func toPoint(o fleet.Option[fleet.Point]) *forwardpb.Point {
+func toPoint(o fleet.Option[fleet.LogPosition]) *forwardpb.Point {
 	p, ok := o.Get()
 	if !ok {
 		return nil
 	}
-	return &forwardpb.Point{Term: uint64(p.Term), Position: uint64(p.Position)}
+	return &forwardpb.Point{Term: uint64(p.Term), Position: uint64(p.Index)}
 }
 
-func fromPoint(m *forwardpb.Point) fleet.Option[fleet.Point] {
+func fromPoint(m *forwardpb.Point) fleet.Option[fleet.LogPosition] {
 	if m == nil {
-		return fleet.Option[fleet.Point]{}
+		return fleet.Option[fleet.LogPosition]{}
 	}
-	return fleet.Some(fleet.Point{Term: fleet.Term(m.GetTerm()), Position: fleet.Position(m.GetPosition())})
+	return fleet.Some(fleet.LogPosition{Term: fleet.Term(m.GetTerm()), Index: fleet.LogIndex(m.GetPosition())})
 }
 
 // AppendPing writes a question for a sign of life, or its answer.
--- a/io/grants/claims.go
+++ b/io/grants/claims.go
@@ -10,10 +10,10 @@
 
 	"go.uber.org/zap"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/failure"
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/journal"
+	"skylarkdeal/core/quota"
 	"skylarkdeal/core/roster"
 	"skylarkdeal/io/host/hostpb"
 )
@@ -27,7 +27,7 @@
 
 // storedSeat is a seat as the store has it.
 type storedSeat struct {
-	allot.SeatRecord
+	quota.OwnershipRecord
 	// Left is what the homes had when the last holder gave the seat up.
 	Left []leftover `json:"left,omitempty"`
 }
@@ -52,9 +52,9 @@
 	// without it.
 	dirty, waits bool
 	// standing remembers which holders' leases stand.
-	standing map[allot.SeatRecord]bool
+	standing map[quota.OwnershipRecord]bool
 	// withdraw holds the seats whose consent is to be withdrawn, by witness.
-	withdraw map[allot.Process][]roster.Shard
+	withdraw map[quota.Process][]roster.Shard
 }
 
 // changeSeats claims and gives up seats with one read and one swap, and reports
@@ -100,7 +100,7 @@
 	lease, _ := r.cfg.Store.Lease()
 	c := &change{
 		seats: storedSeats{}, lease: lease, won: map[roster.Shard][]leftover{},
-		standing: map[allot.SeatRecord]bool{}, withdraw: map[allot.Process][]roster.Shard{},
+		standing: map[quota.OwnershipRecord]bool{}, withdraw: map[quota.Process][]roster.Shard{},
 	}
 	list, err := r.cfg.Store.List(ctx, r.seatsKey())
 	if err != nil {
@@ -130,7 +130,7 @@
 		if now.Tenure != g.tenure {
 			g.left = nil
 		}
-		c.seats[shardKey(h)] = storedSeat{allot.SeatRecord{Tenure: now.Tenure + 1}, g.left}
+		c.seats[shardKey(h)] = storedSeat{quota.OwnershipRecord{Tenure: now.Tenure + 1}, g.left}
 		c.given = append(c.given, h)
 		c.dirty = true
 	}
@@ -139,44 +139,44 @@
 // planClaim takes one step towards a seat.
 func (r *Runtime) planClaim(ctx context.Context, c *change, h roster.Shard) error {
 	read := c.seats[shardKey(h)]
-	stands, err := r.stands(ctx, read.SeatRecord, c.standing)
+	stands, err := r.stands(ctx, read.OwnershipRecord, c.standing)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.seat(h)
-	switch s.claim.Next(r.clock.early(), r.process(), c.lease, read.SeatRecord, stands) {
-	case allot.StepAdopt:
+	switch s.claim.Next(r.clock.early(), r.process(), c.lease, read.OwnershipRecord, stands) {
+	case quota.StepAdopt:
 		if !r.witnessServes(read.Witness) {
 			r.planSwap(c, h, read, nil)
 			return nil
 		}
-		r.won(h, read.SeatRecord, c.lease, nil)
-	case allot.StepSwap:
+		r.won(h, read.OwnershipRecord, c.lease, nil)
+	case quota.StepSwap:
 		r.planSwap(c, h, read, read.Left)
-	case allot.StepWithdraw:
+	case quota.StepWithdraw:
 		c.withdraw[read.Witness] = append(c.withdraw[read.Witness], h)
 		c.waits = true
-	case allot.StepRest:
+	case quota.StepIdle:
 		r.lose(h, s)
-	case allot.StepWait:
+	case quota.StepWait:
 		c.waits = true
 	}
 	return nil
 }
 
 // planSwap puts this host into the record of a seat. Until the answer a holder
-// counts on its lease alone (see Seat.Swapping).
+// counts on its lease alone (see Ownership.BeginSwap).
 //
 // The tokens that a predecessor left are used by the one whose swap of that very
 // record is known to have gone through, and the swap removes them: so never twice.
 func (r *Runtime) planSwap(c *change, h roster.Shard, read storedSeat, left []leftover) {
 	s := r.seat(h)
-	s.tenure.Swapping()
-	s.claim.Tried(read.SeatRecord)
+	s.tenure.BeginSwap()
+	s.claim.Tried(read.OwnershipRecord)
 	c.seats[shardKey(h)] = storedSeat{
-		SeatRecord: allot.Taken(read.SeatRecord, r.process(), c.lease, r.pickWitness()),
+		OwnershipRecord: quota.ClaimedRecord(read.OwnershipRecord, r.process(), c.lease, r.pickWitness()),
 	}
 	c.won[h], c.dirty = left, true
 }
@@ -198,19 +198,19 @@
 		delete(r.given, h)
 	}
 	for h, left := range c.won {
-		r.won(h, c.seats[shardKey(h)].SeatRecord, c.lease, left)
+		r.won(h, c.seats[shardKey(h)].OwnershipRecord, c.lease, left)
 	}
 	return nil
 }
 
 // won takes in that the record names this host; r.mu is held.
-func (r *Runtime) won(h roster.Shard, rec allot.SeatRecord, lease uint64, left []leftover) {
+func (r *Runtime) won(h roster.Shard, rec quota.OwnershipRecord, lease uint64, left []leftover) {
 	l, until := r.cfg.Store.Lease()
 	s := r.seat(h)
-	s.claim, s.yield = allot.Claim{}, time.Time{}
-	kept := s.tenure.Won(rec)
+	s.claim, s.yield = quota.Claim{}, time.Time{}
+	kept := s.tenure.Acquired(rec)
 	if l == lease {
-		s.tenure.Leased(lease, until)
+		s.tenure.LeaseRenewed(lease, until)
 	}
 	if !kept {
 		r.dropHomes(h)
@@ -226,14 +226,15 @@
 // stands reports whether the lease of a record's holder stands, asking the store
 // once for all seats of one holder. A holder that is a member is taken to have
 // its lease without asking: to rest is always safe, and it costs no call.
-func (r *Runtime) stands(ctx context.Context, rec allot.SeatRecord, known map[allot.SeatRecord]bool) (bool, error) {
-	if rec.Holder == (allot.Process{}) || rec.Holder == r.process() {
+func (r *Runtime) stands(ctx context.Context, rec quota.OwnershipRecord,
+	known map[quota.OwnershipRecord]bool) (bool, error) {
+	if rec.Holder == (quota.Process{}) || rec.Holder == r.process() {
 		return false, nil
 	}
 	if m, ok := r.member(rec.Holder.Host); ok && !m.Leaving && r.cfg.Store.Epoch(m.Host) == rec.Holder.Epoch {
 		return true, nil
 	}
-	k := allot.SeatRecord{Holder: rec.Holder, Lease: rec.Lease}
+	k := quota.OwnershipRecord{Holder: rec.Holder, Lease: rec.Lease}
 	if v, ok := known[k]; ok {
 		return v, nil
 	}
@@ -256,24 +257,24 @@
 
 // pickWitness returns a live host, rather of the own data centre, so that a data
 // centre cut off from all else can go on.
-func (r *Runtime) pickWitness() allot.Process {
+func (r *Runtime) pickWitness() quota.Process {
 	m := r.cfg.Members()
-	for _, e := range append(roster.In(m, r.cfg.DataCentre), m...) {
+	for _, e := range append(roster.InDataCentre(m, r.cfg.DataCentre), m...) {
 		if e.Host == r.cfg.Host || e.Leaving {
 			continue
 		}
 		if epoch := r.cfg.Store.Epoch(e.Host); epoch != 0 {
-			return allot.Process{Host: e.Host, Epoch: epoch}
+			return quota.Process{Host: e.Host, Epoch: epoch}
 		}
 	}
-	return allot.Process{}
+	return quota.Process{}
 }
 
 var errNoWitness = errors.New("the witness is not among the members")
 
 // withdraw asks a witness to consent no more to the tenures of some seats. While
 // it doesn't answer they stay as they are.
-func (r *Runtime) withdraw(ctx context.Context, w allot.Process, shards []roster.Shard, c *change) {
+func (r *Runtime) withdraw(ctx context.Context, w quota.Process, shards []roster.Shard, c *change) {
 	asks := make([]*hostpb.SeatAsk, len(shards))
 	for i, h := range shards {
 		asks[i] = &hostpb.SeatAsk{
@@ -289,6 +290,6 @@
 	defer r.mu.Unlock()
 	for i, h := range shards {
 		remains := time.Duration(a.GetSeats()[i].GetRemainsUs()) * time.Microsecond
-		r.seat(h).claim.Withdrawn(r.clock.early(), c.seats[shardKey(h)].SeatRecord, remains)
+		r.seat(h).claim.Withdrawn(r.clock.early(), c.seats[shardKey(h)].OwnershipRecord, remains)
 	}
 }
--- a/io/grants/seats.go
+++ b/io/grants/seats.go
@@ -8,10 +8,10 @@
 
 	"go.uber.org/zap"
 
-	"skylarkdeal/core/allot"
 	"skylarkdeal/core/fleet"
+	"skylarkdeal/core/quota"
 	"skylarkdeal/core/roster"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // Entry is one key of the store as it was read.
@@ -43,14 +43,14 @@
 // SeatPrefix is where the seats are kept in the store, a key for each data centre.
 const SeatPrefix = "/skylarkdeal/homes/"
 
-func seatName(d fleet.DataCentre, h roster.Shard) allot.SeatName {
-	return allot.SeatName(fmt.Sprintf("%s/%02d", d, h))
+func seatName(d fleet.DataCentre, h roster.Shard) quota.OwnershipID {
+	return quota.OwnershipID(fmt.Sprintf("%s/%02d", d, h))
 }
 
 // seat is this host's view of one seat of its data centre.
 type seat struct {
-	tenure allot.Seat
-	claim  allot.Claim
+	tenure quota.Ownership
+	claim  quota.Claim
 	// yield is when this host, the holder, first saw another one win the duty.
 	yield time.Time
 }
@@ -76,7 +76,7 @@
 func (r *Runtime) keepSeats(ctx context.Context) {
 	for {
 		r.roundOfSeats(ctx)
-		if !pause.For(ctx, seatEvery+rand.N(seatEvery/4)) {
+		if !sleep.For(ctx, seatEvery+rand.N(seatEvery/4)) {
 			return
 		}
 	}
@@ -87,10 +87,10 @@
 		r.takeUnfenced()
 		return
 	}
-	here := roster.In(r.cfg.Members(), r.cfg.DataCentre)
+	here := roster.InDataCentre(r.cfg.Members(), r.cfg.DataCentre)
 	var claims []roster.Shard
 	for h := roster.Shard(0); h < roster.Shards; h++ {
-		w, ok := roster.Winner(here, roster.Home(r.cfg.DataCentre, h))
+		w, ok := roster.DutyHolder(here, roster.Home(r.cfg.DataCentre, h))
 		mine := ok && w.Host == r.cfg.Host && !w.Leaving
 		renewed := r.renew(h)
 		r.yield(h, mine)
@@ -132,19 +132,19 @@
 // takeUnfenced holds every seat that falls to this host by its own roster.
 func (r *Runtime) takeUnfenced() {
 	forever := r.clock.late().Add(time.Hour)
-	here := roster.In(r.cfg.Members(), r.cfg.DataCentre)
+	here := roster.InDataCentre(r.cfg.Members(), r.cfg.DataCentre)
 	for h := roster.Shard(0); h < roster.Shards; h++ {
-		w, ok := roster.Winner(here, roster.Home(r.cfg.DataCentre, h))
+		w, ok := roster.DutyHolder(here, roster.Home(r.cfg.DataCentre, h))
 		r.mu.Lock()
 		s := r.seat(h)
 		switch {
 		case !ok || w.Host != r.cfg.Host || r.leaving:
 			r.lose(h, s)
 		case s.tenure.Held():
-			s.tenure.Leased(0, forever)
+			s.tenure.LeaseRenewed(0, forever)
 		default:
-			s.tenure.Won(allot.SeatRecord{Holder: r.process()})
-			s.tenure.Leased(0, forever)
+			s.tenure.Acquired(quota.OwnershipRecord{Holder: r.process()})
+			s.tenure.LeaseRenewed(0, forever)
 			r.startHomes(h, nil)
 		}
 		r.mu.Unlock()
@@ -169,8 +169,8 @@
 	}
 }
 
-func (r *Runtime) process() allot.Process {
-	return allot.Process{Host: r.cfg.Host, Epoch: r.cfg.Epoch}
+func (r *Runtime) process() quota.Process {
+	return quota.Process{Host: r.cfg.Host, Epoch: r.cfg.Epoch}
 }
 
 func (r *Runtime) isLeaving() bool {
@@ -193,15 +193,15 @@
 	if lease != s.tenure.Record().Lease && !until.IsZero() {
 		return false
 	}
-	s.tenure.Leased(lease, until)
+	s.tenure.LeaseRenewed(lease, until)
 	return !r.clock.late().Before(until) || r.witnessServes(s.tenure.Record().Witness)
 }
 
 // witnessServes reports whether the witness is a live member of the epoch that
 // the record names, and as near as any, or there is none to be had. A witness in
 // another data centre is of no use when this one is cut off.
-func (r *Runtime) witnessServes(p allot.Process) bool {
-	if p == (allot.Process{}) {
+func (r *Runtime) witnessServes(p quota.Process) bool {
+	if p == (quota.Process{}) {
 		return r.pickWitness() == p
 	}
 	m, ok := r.member(p.Host)
--- a/io/steward/cluster_test.go
+++ b/io/groupmonitor/cluster_test.go
@@ -1,4 +1,4 @@
-package steward_test
+package groupmonitor_test
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	"skylarkdeal/core/group/grouptest"
 	"skylarkdeal/core/journal"
 	"skylarkdeal/io/control"
+	"skylarkdeal/io/groupmonitor"
 	"skylarkdeal/io/host/hostpb"
-	"skylarkdeal/io/steward"
 )
 
 func TestMain(m *testing.M) {
@@ -46,7 +46,7 @@
 	// moved takes the place of doc once it is set.
 	moved     atomic.Pointer[document.Document]
 	hosts     []fleet.Member
-	stewards  map[fleet.Host]*steward.Steward
+	stewards  map[fleet.Host]*groupmonitor.Steward
 	journals  map[fleet.Host]*journal.Journal
 	link      time.Duration
 	mu        sync.Mutex
@@ -83,7 +83,7 @@
 	tb.Helper()
 	c := &cluster{
 		link:      time.Millisecond,
-		stewards:  make(map[fleet.Host]*steward.Steward),
+		stewards:  make(map[fleet.Host]*groupmonitor.Steward),
 		journals:  make(map[fleet.Host]*journal.Journal),
 		instances: make(map[fleet.Instance]*grouptest.Instance),
 		faults:    make(map[fleet.Instance]fault),
@@ -127,12 +127,12 @@
 	if m.Host == "h0" {
 		now = c.now
 	}
-	s := steward.New(steward.Config{
+	s := groupmonitor.New(groupmonitor.Config{
 		Service: "orders", Host: m.Host, DataCentre: m.DataCentre, Epoch: seed + 1, Seed: seed,
 		Document: c.document,
 		Dial:     func(i document.Instance) control.Client { return c.dial(m.Host, i.Name) },
 		Holders:  c.holders,
-		Views:    func(ctx context.Context, o fleet.Member) (*hostpb.ViewResponse, error) { return c.view(ctx, m, o) },
+		AskView:  func(ctx context.Context, o fleet.Member) (*hostpb.ViewResponse, error) { return c.view(ctx, m, o) },
 		Journal:  j,
 		Now:      now,
 	})
@@ -282,7 +282,7 @@
 
 // keeps checks that the primary of the highest term has all that was
 // acknowledged.
-func (c *cluster) keeps(tb testing.TB, acked map[fleet.Point]string) {
+func (c *cluster) keeps(tb testing.TB, acked map[fleet.LogPosition]string) {
 	tb.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -293,7 +293,7 @@
 		}
 	}
 	for p, v := range acked {
-		if int(p.Position) > len(top.Log) || top.Log[p.Position-1].Value != v {
+		if int(p.Index) > len(top.Log) || top.Log[p.Index-1].Value != v {
 			tb.Fatalf("acknowledged write %v = %s is lost", p, v)
 		}
 	}
@@ -304,16 +304,16 @@
 // write has a value written through one host and waits for its acknowledgement.
 func (c *cluster) write(
 	h fleet.Host, rule document.Acknowledge, value string, limit time.Duration,
-) (fleet.Point, error) {
+) (fleet.LogPosition, error) {
 	s := c.stewards[h]
-	t := s.Table()
+	t := s.Snapshot()
 	p, ok := t.Find(t.Primary)
 	if !ok || p.Silent(time.Now()) > 150*time.Millisecond {
-		return fleet.Point{}, errNoPrimary
+		return fleet.LogPosition{}, errNoPrimary
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, limit)
 	defer cancel()
-	var at fleet.Point
+	var at fleet.LogPosition
 	_, err := c.call(ctx, h, t.Primary, func(i *grouptest.Instance) error {
 		var err error
 		at, err = i.Append(value)
@@ -344,7 +344,7 @@
 	tb.Helper()
 	eventually(tb, func() bool {
 		for _, s := range c.stewards {
-			if s.Table().Primary == "" {
+			if s.Snapshot().Primary == "" {
 				return false
 			}
 		}
--- a/io/steward/steward_test.go
+++ b/io/groupmonitor/groupmonitor_test.go
@@ -1,4 +1,4 @@
-package steward_test
+package groupmonitor_test
 
 import (
 	"errors"
@@ -19,9 +19,10 @@
 
 // writeUntil writes through h until f accepts an acknowledged point, and
 // returns all that was acknowledged.
-func (c *cluster) writeUntil(tb testing.TB, h fleet.Host, f func(p fleet.Point) bool) map[fleet.Point]string {
+func (c *cluster) writeUntil(tb testing.TB, h fleet.Host,
+	f func(p fleet.LogPosition) bool) map[fleet.LogPosition]string {
 	tb.Helper()
-	acked := make(map[fleet.Point]string)
+	acked := make(map[fleet.LogPosition]string)
 	n := 0
 	eventually(tb, func() bool {
 		n++
@@ -48,9 +49,9 @@
 	return who && why
 }
 
-func anyPoint(fleet.Point) bool { return true }
+func anyPoint(fleet.LogPosition) bool { return true }
 
-func laterTerm(p fleet.Point) bool { return p.Term > 1 }
+func laterTerm(p fleet.LogPosition) bool { return p.Term > 1 }
 
 // The primary dies while an order client writes. Nobody orders a promotion; the
 // next order is confirmed by a new primary that has all the earlier ones. When
@@ -68,7 +69,7 @@
 			qt.New(t).Check(c.explained(), qt.IsTrue, qt.Commentf("no host tells who was promoted and why"))
 			c.set(func() { c.faults["a"] = healthy })
 			eventually(t, func() bool {
-				a, _ := c.stewards["h2"].Table().Find("a")
+				a, _ := c.stewards["h2"].Snapshot().Find("a")
 				return a.Status.Role == fleet.RoleReplica && a.Status.Last.Term > 1
 			})
 		})
@@ -106,7 +107,7 @@
 		}
 	})
 	eventually(t, func() bool {
-		return c.stewards["h0"].Table().Term > 1
+		return c.stewards["h0"].Snapshot().Term > 1
 	})
 	c.keeps(t, acked)
 }
@@ -147,8 +148,8 @@
 	q := qt.New(t)
 	c := newCluster(t, time.Millisecond)
 	c.ready(t)
-	p := c.stewards["h0"].Table()
-	at := fleet.Point{Term: p.Term, Position: 1}
+	p := c.stewards["h0"].Snapshot()
+	at := fleet.LogPosition{Term: p.Term, Index: 1}
 	out := make(chan error, 100)
 	before := c.asked("h0")
 	for range 100 {
@@ -170,7 +171,7 @@
 	for p := range c.writeUntil(t, "h0", anyPoint) {
 		proof, err := c.fresh("h2", 10*time.Second)
 		q.Assert(err, qt.IsNil)
-		q.Assert(proof.Point.Covers(p), qt.IsTrue)
+		q.Assert(proof.Position.Covers(p), qt.IsTrue)
 	}
 	c.set(func() { c.faults["b"], c.faults["c"] = hung, hung })
 	_, err := c.fresh("h2", 200*time.Millisecond)
@@ -197,7 +198,7 @@
 	c := newCluster(t, time.Millisecond)
 	c.ready(t)
 	out := make(chan error, 1)
-	far := fleet.Point{Term: 1, Position: 1000}
+	far := fleet.LogPosition{Term: 1, Index: 1000}
 	c.stewards["h0"].Confirm(far, document.AcknowledgeReplicated, time.Now().Add(time.Hour),
 		func(err error) { out <- err })
 	c.stop()
@@ -217,7 +218,7 @@
 	// Nothing is proved until the pause has been prepared.
 	c.set(func() { c.faults["b"], c.faults["c"] = hung, hung })
 	h := c.stewards["h0"]
-	var at fleet.Point
+	var at fleet.LogPosition
 	_, err := c.call(c.ctx, "h0", "a", func(i *grouptest.Instance) error {
 		var err error
 		at, err = i.Append("slept through")
@@ -228,7 +229,7 @@
 	h.Confirm(at, document.AcknowledgePrimary, time.Now().Add(3*time.Second), func(err error) { out <- err })
 	since := time.Now()
 	pause := func() {
-		proved := h.Table().Acknowledge(document.AcknowledgePrimary, at, since) == group.VerdictAcknowledge
+		proved := h.Snapshot().Acknowledge(document.AcknowledgePrimary, at, since) == group.VerdictAcknowledge
 		if proved && c.slept.CompareAndSwap(0, int64(time.Second)) {
 			c.set(func() { c.faults["b"], c.faults["c"] = hung, hung })
 		}
@@ -249,9 +250,9 @@
 	from := c.asked("h0")
 	// At the slowest pace this takes longer than any silence that is borne.
 	eventually(t, func() bool { return c.asked("h0")-from > 40 })
-	q.Assert(c.stewards["h0"].Table().Term, qt.Equals, fleet.Term(1))
+	q.Assert(c.stewards["h0"].Snapshot().Term, qt.Equals, fleet.Term(1))
 	c.set(func() { c.faults["a"] = healthy })
-	c.writeUntil(t, "h0", func(p fleet.Point) bool { return p.Term == 1 })
+	c.writeUntil(t, "h0", func(p fleet.LogPosition) bool { return p.Term == 1 })
 }
 
 // Hosts come and go, and others become holders. One that isn't a holder any more
@@ -263,7 +264,7 @@
 	c.ready(t)
 	all := c.hosts
 	c.set(func() { c.hosts = all[:2] })
-	eventually(t, func() bool { return len(c.stewards["h2"].Table().Seen) == 0 })
+	eventually(t, func() bool { return len(c.stewards["h2"].Snapshot().Observations) == 0 })
 	c.set(func() { q.Check(c.closed["h2"], qt.Equals, 3) })
 	_, err := c.fresh("h2", 10*time.Second)
 	q.Assert(err, qt.IsNil)
@@ -282,12 +283,12 @@
 	c.set(func() { c.faults["b"] = hung })
 	c.moved.Store(&d)
 	eventually(t, func() bool {
-		b, _ := c.stewards["h0"].Table().Find("b")
+		b, _ := c.stewards["h0"].Snapshot().Find("b")
 		return b.Instance.Address == "127.0.0.1:99" && !b.Known()
 	})
 	c.set(func() { c.faults["b"] = healthy })
 	eventually(t, func() bool {
-		b, _ := c.stewards["h0"].Table().Find("b")
+		b, _ := c.stewards["h0"].Snapshot().Find("b")
 		return b.Known()
 	})
 }
--- a/io/steward/ledger_test.go
+++ b/io/groupmonitor/ledger_test.go
@@ -1,4 +1,4 @@
-package steward_test
+package groupmonitor_test
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"skylarkdeal/core/document"
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/io/control"
+	"skylarkdeal/io/groupmonitor"
 	"skylarkdeal/io/host/hostpb"
-	"skylarkdeal/io/steward"
 	"skylarkdeal/standin/ledger"
 )
 
@@ -32,7 +32,7 @@
 	group    *ledger.Group
 	doc      document.Document
 	hosts    []fleet.Member
-	stewards map[fleet.Host]*steward.Steward
+	stewards map[fleet.Host]*groupmonitor.Steward
 	mu       sync.Mutex
 	away     map[fleet.Host]bool
 	// slow delays the answers of instance a, pause the next step of host h0.
@@ -50,7 +50,7 @@
 
 func newFleet(tb testing.TB, lag time.Duration) *fleetOf {
 	tb.Helper()
-	f := &fleetOf{stewards: make(map[fleet.Host]*steward.Steward), away: make(map[fleet.Host]bool)}
+	f := &fleetOf{stewards: make(map[fleet.Host]*groupmonitor.Steward), away: make(map[fleet.Host]bool)}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	names := []fleet.Instance{"a", "b", "c"}
 	cfg := ledger.Config{Service: "orders", Lag: lag}
@@ -89,12 +89,12 @@
 }
 
 func (f *fleetOf) prepare(m fleet.Member, seed uint64) {
-	s := steward.New(steward.Config{
+	s := groupmonitor.New(groupmonitor.Config{
 		Service: "orders", Host: m.Host, DataCentre: m.DataCentre, Epoch: seed, Seed: seed,
 		Document: func() *document.Document { return &f.doc },
 		Dial:     func(i document.Instance) control.Client { return f.dial(m.Host, i) },
 		Holders:  func() []fleet.Member { return f.hosts },
-		Views: func(ctx context.Context, o fleet.Member) (*hostpb.ViewResponse, error) {
+		AskView: func(ctx context.Context, o fleet.Member) (*hostpb.ViewResponse, error) {
 			return f.view(ctx, m.Host, o.Host)
 		},
 	})
@@ -149,7 +149,7 @@
 	rule  document.Acknowledge
 	to    fleet.Instance
 	conn  *pgconn.PgConn
-	acked map[fleet.Point]string
+	acked map[fleet.LogPosition]string
 	// lost is how many writes have had an unknown outcome.
 	unknown int
 }
@@ -165,7 +165,7 @@
 
 // connect returns the connection to the primary, or nil while there is none.
 func (w *writer) connect(ctx context.Context) *pgconn.PgConn {
-	t := w.fleet.stewards[w.host].Table()
+	t := w.fleet.stewards[w.host].Snapshot()
 	p, ok := t.Find(t.Primary)
 	if !ok || p.Silent(time.Now()) > 150*time.Millisecond {
 		return nil
@@ -184,23 +184,23 @@
 }
 
 // write has one value written and acknowledged within limit.
-func (w *writer) write(value string, limit time.Duration) (fleet.Point, bool) {
+func (w *writer) write(value string, limit time.Duration) (fleet.LogPosition, bool) {
 	ctx, cancel := context.WithTimeout(w.fleet.ctx, limit)
 	defer cancel()
 	conn := w.connect(ctx)
 	if conn == nil {
 		_ = sleep(ctx, time.Millisecond)
-		return fleet.Point{}, false
+		return fleet.LogPosition{}, false
 	}
 	_ = sleep(ctx, 2*linkTime)
 	if _, err := conn.Exec(ctx, "put k"+value+" "+value).ReadAll(); err != nil {
 		w.close()
-		return fleet.Point{}, false
+		return fleet.LogPosition{}, false
 	}
 	text, _, _ := strings.Cut(conn.ParameterStatus(ledger.PointParameter), "/")
-	at, err := fleet.ParsePoint(text)
+	at, err := fleet.ParseLogPosition(text)
 	if err != nil {
-		return fleet.Point{}, false
+		return fleet.LogPosition{}, false
 	}
 	out := make(chan error, 1)
 	w.fleet.stewards[w.host].Confirm(at, w.rule, time.Now().Add(limit), func(err error) { out <- err })
--- a/io/holder/group.go
+++ b/io/holder/group.go
@@ -15,7 +15,7 @@
 	"skylarkdeal/core/place"
 	"skylarkdeal/core/ring"
 	"skylarkdeal/io/database"
-	"skylarkdeal/io/steward"
+	"skylarkdeal/io/groupmonitor"
 )
 
 // The bounds of a group's rings and of the exchanges under way.
@@ -43,7 +43,7 @@
 	service fleet.Service
 	// document is shared.
 	document atomic.Pointer[document.Document]
-	steward  *steward.Steward
+	steward  *groupmonitor.Steward
 	// pins are shared.
 	pins pins
 
@@ -69,8 +69,8 @@
 	// ranked is what the pools were configured by.
 	ranked *ranking
 	busy   map[fleet.Instance]int
-	meters map[fleet.Instance]place.Meter
-	budget place.Budget
+	meters map[fleet.Instance]place.LatencyAverage
+	budget place.RetryBudget
 	holds  bool
 	slots  map[fleet.Instance]int
 	key    uint64
@@ -98,11 +98,11 @@
 		pools:     map[fleet.Instance]*database.Pool{},
 		addresses: map[fleet.Instance]string{},
 		busy:      map[fleet.Instance]int{},
-		meters:    map[fleet.Instance]place.Meter{},
+		meters:    map[fleet.Instance]place.LatencyAverage{},
 		slots:     map[fleet.Instance]int{},
 	}
 	g.document.Store(d)
-	g.steward = steward.New(g.stewardConfig())
+	g.steward = groupmonitor.New(g.stewardConfig())
 	g.steward.OnChange(g.stir)
 	return g
 }
@@ -166,7 +166,7 @@
 	g.closing = true
 	g.h.forget(g)
 	for _, w := range g.works {
-		if g.queue.Withdraw(w.key) {
+		if g.queue.Remove(w.key) {
 			g.drop(w, g.refusal(failure.CodeShuttingDown, "the host shuts down", 0))
 			continue
 		}
--- a/io/registry/duty.go
+++ b/io/registry/duty.go
@@ -11,7 +11,7 @@
 	"skylarkdeal/core/failure"
 	"skylarkdeal/core/fleet"
 	"skylarkdeal/core/leader"
-	"skylarkdeal/internal/pause"
+	"skylarkdeal/internal/sleep"
 )
 
 // Promotion is an order to the platform.
@@ -54,9 +54,9 @@
 func (r *Registry) holdDuty(ctx context.Context) {
 	var after Revision
 	for ctx.Err() == nil {
-		l := Lease(r.lease.Load())
+		l := LeaseID(r.lease.Load())
 		if l == 0 {
-			pause.For(ctx, pauseAfterError)
+			sleep.For(ctx, pauseAfterError)
 			continue
 		}
 		var err error
@@ -79,7 +79,7 @@
 // while hosts are restarted in turn. One that has just come back has never met that primary,
 // and takes the group for one whose primary is still to be found, seconds longer than the
 // others know that it is lost.
-func (r *Registry) takeDuty(ctx context.Context, l Lease) (Revision, error) {
+func (r *Registry) takeDuty(ctx context.Context, l LeaseID) (Revision, error) {
 	c, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	es, at, err := r.cfg.Store.List(c, r.dutyKey())
@@ -91,8 +91,8 @@
 		return at, nil
 	}
 	r.ownDuty(Entry{})
-	if young := r.cfg.Youth - time.Since(r.began); young > 0 {
-		pause.For(ctx, young)
+	if young := r.cfg.CoordinatorDelay - time.Since(r.began); young > 0 {
+		sleep.For(ctx, young)
 		return 0, nil
 	}
 	b, err := json.Marshal(r.cfg.Self.Name)
@@ -123,11 +123,11 @@
 		}
 	}
 	var fence uint64
-	if l := Lease(r.lease.Load()); l != 0 && holder == r.cfg.Self.Name && e.Lease == l {
+	if l := LeaseID(r.lease.Load()); l != 0 && holder == r.cfg.Self.Name && e.Lease == l {
 		fence = uint64(e.Created)
 	}
 	if r.fence.Swap(fence) != fence {
-		r.cfg.Post(func() { r.cfg.Holds(fence != 0) })
+		r.cfg.Post(func() { r.cfg.CoordinatorChanged(fence != 0) })
 	}
 }
 
@@ -148,8 +148,8 @@
 	return max(at, after), nil
 }
 
-// Order has a change of primary made.
-func (r *Registry) Order(o leader.Order) {
+// RequestPromotion has a change of primary made.
+func (r *Registry) RequestPromotion(o leader.PromotionRequest) {
 	if !r.orders.TryPut(o) {
 		r.cfg.Logger.Error("order dropped: too many wait", zap.String("service", string(o.Service)))
 	}
@@ -168,7 +168,7 @@
 	}
 }
 
-func (r *Registry) give(ctx context.Context, o leader.Order) {
+func (r *Registry) give(ctx context.Context, o leader.PromotionRequest) {
 	at := time.Now()
 	err := r.order(ctx, o)
 	refused := errors.Is(err, ErrNotRunning)
@@ -182,7 +182,7 @@
 	} else {
 		r.cfg.Logger.Info("order given", f...)
 	}
-	r.cfg.Post(func() { r.cfg.Ordered(o, err == nil, refused) })
+	r.cfg.Post(func() { r.cfg.PromotionFinished(o, err == nil, refused) })
 }
 
 // order writes the record, ends the other hosts' registrations and only then gives the
@@ -192,7 +192,7 @@
 // the record was written learns of the end of it at its next renewal, and none can
 // believe for longer than a renewal is valid that no order was given. The platform
 // takes longer than that to carry the order out; where it may not, the rest is waited.
-func (r *Registry) order(ctx context.Context, o leader.Order) error {
+func (r *Registry) order(ctx context.Context, o leader.PromotionRequest) error {
 	fence := r.fence.Load()
 	if fence == 0 {
 		return failure.At(ErrConflict, "order a change of primary", "duty")
@@ -200,20 +200,20 @@
 	rec := leader.Record{
 		Service: o.Service, Term: o.Term, Primary: o.Primary, Former: o.Former, By: r.cfg.Self.Name,
 	}
-	rev, err := r.writeRecord(ctx, rec, Revision(o.Based))
+	rev, err := r.writeRecord(ctx, rec, Revision(o.BaseRevision))
 	if err != nil {
 		return err
 	}
 	rec.Revision = uint64(rev)
 	r.cfg.Post(func() { r.cfg.Record(rec) })
 	r.copyRecord(rec, rev)
-	if o.Reason == leader.ReasonAffirmed {
+	if o.Reason == leader.ReasonAlreadyPrimary {
 		return nil
 	}
 	if err := r.endOthers(ctx); err != nil {
 		return err
 	}
-	if d := leader.LeaseValidity - r.cfg.PromotionLeast; d > 0 && !pause.For(ctx, d) {
+	if d := leader.LeaseValidity - r.cfg.PromotionLeast; d > 0 && !sleep.For(ctx, d) {
 		return ctx.Err()
 	}
 	return r.promote(ctx, o, rec, fence)
@@ -281,11 +281,11 @@
 
 func (r *Registry) endOther(ctx context.Context, h Host) error {
 	for {
-		err := r.cfg.Store.End(ctx, h.Lease)
+		err := r.cfg.Store.Revoke(ctx, h.Lease)
 		if err == nil || ctx.Err() != nil {
 			return failure.At(err, "end a registration", failure.Peer("host "+string(h.Name)))
 		}
-		pause.For(ctx, pauseAfterError/4)
+		sleep.For(ctx, pauseAfterError/4)
 	}
 }
 
@@ -297,7 +297,7 @@
 // An order without an answer is given again only while its record is the group's last: one that
 // came after a later order would be carried out after it, and put another primary in the place
 // of the one that all hosts know.
-func (r *Registry) promote(ctx context.Context, o leader.Order, rec leader.Record, fence uint64) error {
+func (r *Registry) promote(ctx context.Context, o leader.PromotionRequest, rec leader.Record, fence uint64) error {
 	p := Promotion{Service: o.Service, Instance: o.Primary, Holder: r.cfg.Self.Name, Fence: fence}
 	var err error
 	for n := range orderTries {
@@ -319,7 +319,7 @@
 		// That the instance isn't running any more refuses no order that it may have had before, so
 		// that the error doesn't stand for ErrNotRunning.
 		err = errors.New("not known to be taken: " + last.Error())
-		pause.For(ctx, pauseAfterError)
+		sleep.For(ctx, pauseAfterError)
 	}
 	return err
 }
@@ -348,12 +348,12 @@
 }
 
 // planStepDown has a former primary that still works step down in time.
-func (r *Registry) planStepDown(ctx context.Context, o leader.Order) {
+func (r *Registry) planStepDown(ctx context.Context, o leader.PromotionRequest) {
 	if o.Reason != leader.ReasonLeaving {
 		return
 	}
 	r.wait.Go(func() {
-		if pause.For(ctx, r.cfg.PromotionDelay-stepDownBefore) {
+		if sleep.For(ctx, r.cfg.PromotionDelay-stepDownBefore) {
 			r.cfg.Post(func() { r.cfg.StepDown(o) })
 		}
 	})
--- a/io/registry/follow.go
+++ b/io/registry/follow.go
@@ -24,21 +24,21 @@
 	signal(r.changed)
 }
 
-// Take takes in a part of the store that another host has read, under a moment of this host's
+// ApplyPart takes in a part of the store that another host has read, under a moment of this host's
 // clock that isn't after its reading.
-func (r *Registry) Take(p follow.Part, c follow.Copy[[]Entry]) {
+func (r *Registry) ApplyPart(p follow.Part, c follow.PartCopy[[]Entry]) {
 	switch p {
 	case follow.PartCatalog:
-		if c.Whole {
+		if c.HasBody {
 			r.takeCatalog(snapshot{entries: c.Body, changed: Revision(c.Version)})
 		}
 		r.CatalogConfirmed(c.Read)
 	case follow.PartInstances:
-		if c.Whole {
+		if c.HasBody {
 			r.takeInstances(c.Body, c.Read)
 		}
 	case follow.PartRecords:
-		if c.Whole {
+		if c.HasBody {
 			for _, rec := range r.parseRecords(c.Body) {
 				r.cfg.Record(rec)
 			}
@@ -50,9 +50,9 @@
 
 // copied hands on a part of the store for the hosts that follow this one.
 func (r *Registry) copied(p follow.Part, v follow.Version, read time.Time, es []Entry) {
-	if r.cfg.Copied == nil || r.Role() != follow.RoleReader {
+	if r.cfg.PartRead == nil || r.Role() != follow.RoleReader {
 		return
 	}
-	c := follow.Copy[[]Entry]{Version: v, Read: read, Whole: true, Body: es}
-	r.cfg.Post(func() { r.cfg.Copied(p, c) })
+	c := follow.PartCopy[[]Entry]{Version: v, Read: read, HasBody: true, Body: es}
+	r.cfg.Post(func() { r.cfg.PartRead(p, c) })
 }
