--- a/core/leader/belief.go
+++ b/core/leader/belief.go
@@ -1,7 +1,8 @@
-// Package leader decides who leads a group of instances: what a host believes, when
-// a primary counts as lost, and whom to put in its place. An instance is promoted by
-// an order to the platform, which carries it out some time later and can't take it
-// back; the platform's store keeps a record of each order.
+// Package leader decides which instance is the primary of a database group: which instance a host
+// takes for it, when it counts as unreachable, and which instance to promote instead.
+//
+// An instance is promoted by a promotion request to the platform, which carries it out some time
+// later and can't cancel it. The platform's store keeps a record of each request.
 package leader
 
 import (
@@ -12,140 +13,141 @@
 	"skylarkdeal/core/statement"
 )
 
-// Record is what the store keeps of the last order given for a group. It is written
-// before the order, so that no promotion takes effect without one.
+// Record is the store's record of the last promotion request for a group. It is written before the
+// request is sent, so that no promotion takes effect without a record.
 type Record struct {
 	Service fleet.Service `json:"service"`
-	// Term is the lowest term that the order leads to.
+	// Term is the lowest term that the promotion can start.
 	Term fleet.Term `json:"term"`
-	// Primary is the instance that is to lead, Former the one that led.
+	// Primary is the instance to be promoted, Former the primary that it replaces.
 	Primary fleet.Instance `json:"primary"`
 	Former  fleet.Instance `json:"former"`
-	// By is the host that gave the order.
+	// By is the host that sent the promotion request.
 	By fleet.Host `json:"by"`
-	// Revision is the store's of the record's last change; it orders the records.
+	// Revision is the store's revision of the last change of the record. It orders the records.
 	Revision uint64 `json:"-"`
 }
 
-// PrimaryState is what one host holds of a group's primary. The zero PrimaryState knows none.
+// PrimaryState is what one host knows about a group's primary. The zero PrimaryState knows of no
+// primary.
 //
-// The last record names the primary; before the first one the instances' own word
-// does. Either is only a name until that instance has said itself, when asked, that
-// it is the primary, in a term that is not below the record's: an order may not have
-// taken effect yet, or never will.
+// The last record names the designated primary. Before the first record, the instances'
+// registrations do. The designated primary counts as confirmed only once it has itself reported, in
+// answer to a status request, that it is the primary, in a term that is not below the record's: the
+// promotion may not have taken effect yet, or may never do so.
 type PrimaryState struct {
 	record  Record
 	primary fleet.Instance
 	term    fleet.Term
-	// settled is set while the primary has said itself that it is one.
-	settled bool
-	// former is the primary before the last record, with its term, as long as it may
-	// still lead.
+	// confirmed is set while the designated primary has itself reported that it is the primary.
+	confirmed bool
+	// former is the primary before the last record and formerTerm its term. former is empty once
+	// that instance can't be the primary any more.
 	former     fleet.Instance
 	formerTerm fleet.Term
 }
 
-// SetInstances takes in how the instances of the group announce themselves. Without a record
-// it is all there is to go by; the current primary is kept while it claims to be one.
-func (b *PrimaryState) SetInstances(is []catalog.Instance) {
-	if b.record.Revision != 0 {
+// SetInstances sets the registered instances of the group. They name the primary only while there
+// is no record. The current primary is kept as long as its registration has the role of a primary.
+func (p *PrimaryState) SetInstances(instances []catalog.Instance) {
+	if p.record.Revision != 0 {
 		return
 	}
-	claims := make([]fleet.Instance, 0, len(is))
-	for _, i := range is {
+	claimants := make([]fleet.Instance, 0, len(instances))
+	for _, i := range instances {
 		if i.Role == fleet.RolePrimary {
-			claims = append(claims, i.Name)
+			claimants = append(claimants, i.Name)
 		}
 	}
-	if len(claims) == 0 || slices.Contains(claims, b.primary) {
+	if len(claimants) == 0 || slices.Contains(claimants, p.primary) {
 		return
 	}
-	slices.Sort(claims)
-	b.follow(claims[0])
+	slices.Sort(claimants)
+	p.setPrimary(claimants[0])
 }
 
-func (b *PrimaryState) follow(i fleet.Instance) {
-	b.primary, b.settled = i, false
+func (p *PrimaryState) setPrimary(i fleet.Instance) {
+	p.primary, p.confirmed = i, false
 }
 
-// AddRecord takes in a record and reports whether it is news.
-func (b *PrimaryState) AddRecord(r Record) bool {
-	if r.Revision <= b.record.Revision {
+// AddRecord adds a record of the store and reports whether it is newer than the last one.
+func (p *PrimaryState) AddRecord(r Record) bool {
+	if r.Revision <= p.record.Revision {
 		return false
 	}
-	b.record = r
-	if b.settled && b.primary == r.Primary && b.term >= r.Term {
+	p.record = r
+	if p.confirmed && p.primary == r.Primary && p.term >= r.Term {
 		return true
 	}
-	b.former, b.formerTerm = "", 0
-	// The store keeps the last record only. Where a term is left out, an order that this host
-	// hasn't heard of has taken effect in between: its primary may have followed this one, whoever
-	// gave the last order thought to lead.
-	if b.settled && b.primary == r.Former && r.Term <= b.term+1 {
-		b.former, b.formerTerm = b.primary, b.term
+	p.former, p.formerTerm = "", 0
+	// The store keeps only the last record. If the record's term is more than one above this host's
+	// term, a promotion that this host doesn't know of has taken effect in between. Its primary may
+	// have replaced this one, whichever instance the record names as the former primary.
+	if p.confirmed && p.primary == r.Former && r.Term <= p.term+1 {
+		p.former, p.formerTerm = p.primary, p.term
 	}
-	b.follow(r.Primary)
+	p.setPrimary(r.Primary)
 	return true
 }
 
-// AddStatus takes in what an instance has said of itself and reports whether it
-// settles who the primary is.
-func (b *PrimaryState) AddStatus(i fleet.Instance, s statement.Status) bool {
-	if i == b.former && s.Role != fleet.RolePrimary {
-		b.former = ""
+// AddStatus adds a status report of an instance. It reports whether the report confirms the
+// primary, or confirms it in another term than before.
+func (p *PrimaryState) AddStatus(i fleet.Instance, s statement.Status) bool {
+	if i == p.former && s.Role != fleet.RolePrimary {
+		p.former = ""
 	}
-	if i != b.primary {
+	if i != p.primary {
 		return false
 	}
-	if s.Role != fleet.RolePrimary || s.Term < b.record.Term {
-		b.settled = false
+	if s.Role != fleet.RolePrimary || s.Term < p.record.Term {
+		p.confirmed = false
 		return false
 	}
-	news := !b.settled || b.term != s.Term
-	b.settled, b.term, b.former = true, s.Term, ""
-	return news
+	changed := !p.confirmed || p.term != s.Term
+	p.confirmed, p.term, p.former = true, s.Term, ""
+	return changed
 }
 
-// AddRefusal takes in that an instance has refused to work as the primary.
-func (b *PrimaryState) AddRefusal(i fleet.Instance) {
+// AddRefusal notes that an instance has refused to act as the primary.
+func (p *PrimaryState) AddRefusal(i fleet.Instance) {
 	switch i {
-	case b.primary:
-		b.settled = false
-	case b.former:
-		b.former = ""
+	case p.primary:
+		p.confirmed = false
+	case p.former:
+		p.former = ""
 	}
 }
 
-// AddLogTerm takes in the term of the last entry in an instance's log. One of a later term than
-// that in which a primary was settled shows that another has led since. An earlier one
-// shows nothing: a promotion writes no entry.
-func (b *PrimaryState) AddLogTerm(i fleet.Instance, t fleet.Term) {
-	if i == b.primary && b.settled && t > b.term {
-		b.settled = false
+// AddLogTerm adds the term of the last entry in an instance's log. A term later than the one in
+// which the primary was confirmed shows that another instance has been the primary since. An
+// earlier term shows nothing, because a promotion writes no log entry.
+func (p *PrimaryState) AddLogTerm(i fleet.Instance, t fleet.Term) {
+	if i == p.primary && p.confirmed && t > p.term {
+		p.confirmed = false
 	}
-	if i == b.former && t > b.formerTerm {
-		b.former = ""
+	if i == p.former && t > p.formerTerm {
+		p.former = ""
 	}
 }
 
-// Primary returns the instance that leads and its term, once that is settled.
-func (b *PrimaryState) Primary() (fleet.Instance, fleet.Term, bool) {
-	return b.primary, b.term, b.settled
+// Primary returns the designated primary, its term, and whether it is confirmed.
+func (p *PrimaryState) Primary() (fleet.Instance, fleet.Term, bool) {
+	return p.primary, p.term, p.confirmed
 }
 
-// DesignatedPrimary returns the instance that leads or is to lead, settled or not.
-func (b *PrimaryState) DesignatedPrimary() fleet.Instance { return b.primary }
+// DesignatedPrimary returns the instance that is the primary or is to become it, confirmed or not.
+func (p *PrimaryState) DesignatedPrimary() fleet.Instance { return p.primary }
 
-// FormerPrimary returns the primary that the last order replaces, while it may still lead
-// because the order has not taken effect.
-func (b *PrimaryState) FormerPrimary() (fleet.Instance, fleet.Term, bool) {
-	return b.former, b.formerTerm, b.former != "" && !b.settled
+// FormerPrimary returns the primary that the last promotion request replaces, and its term, while
+// it may still be the primary because the promotion has not taken effect.
+func (p *PrimaryState) FormerPrimary() (fleet.Instance, fleet.Term, bool) {
+	return p.former, p.formerTerm, p.former != "" && !p.confirmed
 }
 
-// Record returns the last record, whose Revision is zero if there is none.
-func (b *PrimaryState) Record() Record { return b.record }
+// Record returns the last record. Its Revision is zero if there is none.
+func (p *PrimaryState) Record() Record { return p.record }
 
-// LastTerm returns the highest term that is known of.
-func (b *PrimaryState) LastTerm() fleet.Term {
-	return max(b.term, b.record.Term, b.formerTerm)
+// LastTerm returns the highest known term.
+func (p *PrimaryState) LastTerm() fleet.Term {
+	return max(p.term, p.record.Term, p.formerTerm)
 }
--- a/core/leader/decide.go
+++ b/core/leader/decide.go
@@ -6,129 +6,131 @@
 	"skylarkdeal/core/fleet"
 )
 
-// InstanceInfo is what the host that gives orders knows of one instance of a group.
+// InstanceInfo is what the failover coordinator knows about one instance of a group.
 type InstanceInfo struct {
 	Name fleet.Instance
-	// Leaving is set when the instance is to end soon or to be left alone, Gone when it has ended.
+	// Leaving is set when the instance is about to shut down or is to receive no more requests,
+	// Gone when it has ended.
 	Leaving, Gone bool
-	// Cold is set while it is slow after its start, OutsideRegion where it may not serve all databases of
-	// the service.
+	// Cold is set while the instance is slow after its start, OutsideRegion where it may not serve
+	// all databases of the service.
 	Cold, OutsideRegion bool
-	// Reachable is set when it has answered this host's last question.
+	// Reachable is set when the instance has answered this host's last status request.
 	Reachable bool
-	// Leads is set when it has said lately that it is a primary, in Term.
+	// Leads is set when the instance has recently reported that it is a primary, in Term.
 	Leads bool
 	Term  fleet.Term
-	// UnreachableFrom is how many hosts can't reach it, this one included, and ReachableFrom how many
-	// have heard it although others can't. UnreachableFor is for how long any host has failed to reach it.
+	// UnreachableFrom is the number of hosts that can't reach the instance, this host included.
+	// ReachableFrom is the number of hosts that have received a response from it although others
+	// can't reach it. UnreachableFor is the time since the first of these hosts failed to reach it.
 	UnreachableFrom, ReachableFrom int
 	UnreachableFor                 time.Duration
-	// Received is the end of its log, as it was last heard.
+	// Received is the end of the instance's log according to its last status report.
 	Received fleet.LogPosition
 }
 
-// GroupStatus is what a decision on a group's primary goes by.
+// GroupStatus is the input of a decision about a group's primary.
 type GroupStatus struct {
 	Now       time.Time
 	Instances []InstanceInfo
-	// Since is when the last order became known or, without one, since when no primary
-	// is settled.
+	// Since is the time at which the last record became known or, without a record, the time since
+	// which the group has had no confirmed primary.
 	Since time.Time
 }
 
-// Reason says why a primary is to be replaced.
+// Reason is the reason for replacing a primary.
 type Reason string
 
-// The reasons for an order.
+// The reasons for a promotion request.
 const (
 	ReasonLeaving     Reason = "the primary is leaving"
 	ReasonGone        Reason = "the primary has gone"
 	ReasonUnreachable Reason = "too few hosts can reach the primary"
 	ReasonNoPrimary   Reason = "no instance leads"
-	// ReasonAlreadyPrimary changes the record only: the platform is given no order.
+	// ReasonAlreadyPrimary changes only the record: no request is sent to the platform.
 	ReasonAlreadyPrimary Reason = "the instance led already"
 )
 
-// PromotionRequest is a change of primary that is to be made.
+// PromotionRequest is a change of primary to be made.
 type PromotionRequest struct {
 	Service fleet.Service
 	Primary fleet.Instance
 	Former  fleet.Instance
-	// Term is the lowest that the order can lead to.
+	// Term is the lowest term that the promotion can start.
 	Term   fleet.Term
 	Reason Reason
-	// BaseRevision is the revision of the record that the decision went by: if it has changed,
-	// another host has decided meanwhile.
+	// BaseRevision is the revision of the record that the decision was based on. If the record has
+	// changed, another host has decided in the meantime.
 	BaseRevision uint64
 }
 
 const (
-	// orderPatience is how long an order may take to show effect before another is
-	// given: twice what the platform takes. Two orders on their way at once make two
-	// primaries one after the other.
-	orderPatience = 2500 * time.Millisecond
-	// vouchTime is how long hosts that hear of a doubt get to see for themselves: a new
-	// connection and a report.
-	vouchTime = 150 * time.Millisecond
-	// affirmAfter is how long after an order its instance has to be in its old term to
-	// have been the platform's primary all along: more than the platform takes.
-	affirmAfter = 1600 * time.Millisecond
-	// headlessPatience is how long a group may be without a settled primary, with no
-	// order given: at the start the instances are being found.
-	headlessPatience = 3 * time.Second
+	// promotionTimeout is how long a promotion may take to show effect before another is requested:
+	// twice the time that the platform takes. Two promotions in progress at once would make two
+	// instances the primary, one after the other.
+	promotionTimeout = 2500 * time.Millisecond
+	// suspicionTimeout is how long the other hosts have to check an instance that is suspected:
+	// long enough for a new connection and a report.
+	suspicionTimeout = 150 * time.Millisecond
+	// confirmAfter is how long after a promotion request the instance must still be the primary in
+	// its old term to count as the platform's primary all along: longer than the platform takes.
+	confirmAfter = 1600 * time.Millisecond
+	// noPrimaryTimeout is how long a group may be without a confirmed primary when no promotion was
+	// requested. At the start the instances have to be found first.
+	noPrimaryTimeout = 3 * time.Second
 )
 
-// Decide returns the order that a group needs now, if any.
+// Decide returns the promotion request that a group needs now, if any.
 //
-// It is made for a primary that has died or is cut off, which nobody announces, and for
-// one that leaves. The harm of waiting is a group without writes; the harm of a hasty
-// order is a change that costs callers a tenth of a second and, with replicas behind,
-// the last writes. So at least half of the hosts that know have to agree that it can't be
-// reached, and all get the time to see for themselves: one bad link replaces no primary.
-func (b *PrimaryState) Decide(s GroupStatus) (PromotionRequest, bool) {
-	reason, ok := b.reason(s)
+// Designed for a primary that has died or is cut off, which nothing announces, and for one that is
+// leaving. Waiting too long leaves the group without writes. A premature promotion holds up callers
+// for a tenth of a second and, if replicas lag, loses the last writes. So at least half of the
+// hosts that have reported must be unable to reach the primary, and all hosts get the time to
+// check: one broken link replaces no primary.
+func (p *PrimaryState) Decide(status GroupStatus) (PromotionRequest, bool) {
+	reason, ok := p.promotionReason(status)
 	if !ok {
 		return PromotionRequest{}, false
 	}
-	o := PromotionRequest{Former: b.primary, Reason: reason, Term: b.LastTerm() + 1, BaseRevision: b.record.Revision}
-	if !b.settled && b.former != "" {
-		o.Former = b.former
+	req := PromotionRequest{Former: p.primary, Reason: reason, Term: p.LastTerm() + 1, BaseRevision: p.record.Revision}
+	if !p.confirmed && p.former != "" {
+		req.Former = p.former
 	}
-	best, ok := b.candidate(s)
+	best, ok := p.promotionCandidate(status)
 	if !ok {
 		return PromotionRequest{}, false
 	}
-	o.Primary = best.Name
-	for _, m := range s.Instances {
-		o.Term = max(o.Term, m.Term+1)
+	req.Primary = best.Name
+	for _, inst := range status.Instances {
+		req.Term = max(req.Term, inst.Term+1)
 	}
-	return o, true
+	return req, true
 }
 
-// NeedsPromotion reports whether the group needs another primary, whichever.
-func (b *PrimaryState) NeedsPromotion(s GroupStatus) bool {
-	_, ok := b.reason(s)
+// NeedsPromotion reports whether the group needs another primary, even if there is no candidate.
+func (p *PrimaryState) NeedsPromotion(status GroupStatus) bool {
+	_, ok := p.promotionReason(status)
 	return ok
 }
 
-func (b *PrimaryState) reason(s GroupStatus) (Reason, bool) {
-	if !b.settled {
-		patience := headlessPatience
-		if b.record.Revision != 0 {
-			patience = orderPatience
+func (p *PrimaryState) promotionReason(status GroupStatus) (Reason, bool) {
+	if !p.confirmed {
+		timeout := noPrimaryTimeout
+		if p.record.Revision != 0 {
+			timeout = promotionTimeout
 		}
-		return ReasonNoPrimary, s.Now.Sub(s.Since) > patience
+		return ReasonNoPrimary, status.Now.Sub(status.Since) > timeout
 	}
-	for _, m := range s.Instances {
-		if m.Name != b.primary {
+	for _, inst := range status.Instances {
+		if inst.Name != p.primary {
 			continue
 		}
 		switch {
-		case m.Gone:
+		case inst.Gone:
 			return ReasonGone, true
-		case m.Leaving:
+		case inst.Leaving:
 			return ReasonLeaving, true
-		case m.lost():
+		case inst.isUnreachable():
 			return ReasonUnreachable, true
 		}
 		return "", false
@@ -136,56 +138,62 @@
 	return ReasonGone, true
 }
 
-// lost reports whether half of the hosts that know can't reach the instance.
-func (m InstanceInfo) lost() bool {
-	return m.UnreachableFrom > 0 && m.UnreachableFrom >= m.ReachableFrom && m.UnreachableFor > vouchTime
+// isUnreachable reports whether at least half of the hosts that have reported can't reach the
+// instance, and have had the time to check.
+func (i InstanceInfo) isUnreachable() bool {
+	return i.UnreachableFrom > 0 && i.UnreachableFrom >= i.ReachableFrom && i.UnreachableFor > suspicionTimeout
 }
 
-// candidate returns the instance to be promoted: the one whose log reaches farthest, as
-// what it lacks is lost.
+// promotionCandidate returns the instance to be promoted: the one whose log reaches farthest, as
+// the entries that it lacks are lost.
 //
-// An instance that leads an earlier term than one that was settled has been replaced and
-// doesn't know it: its log has gone another way, and promoting it would undo what its
-// successor has acknowledged. One that leads where nothing was settled is the last
-// choice: the order for another may be late and still take effect.
-func (b *PrimaryState) candidate(s GroupStatus) (InstanceInfo, bool) {
+// An instance that is a primary in an earlier term than a confirmed one has been replaced without
+// having noticed. Its log has diverged, and promoting it would undo what its successor has
+// acknowledged. If no primary was confirmed, an instance that is a primary is chosen last: the
+// promotion of another may be late and still take effect.
+func (p *PrimaryState) promotionCandidate(status GroupStatus) (InstanceInfo, bool) {
 	var best InstanceInfo
-	for _, m := range s.Instances {
-		replaced := m.Leads && m.Term < b.term
-		if m.Gone || m.Leaving || !m.Reachable || m.lost() || replaced || b.settled && m.Name == b.primary {
+	for _, inst := range status.Instances {
+		replaced := inst.Leads && inst.Term < p.term
+		if inst.Gone || inst.Leaving || !inst.Reachable || inst.isUnreachable() || replaced ||
+			p.confirmed && inst.Name == p.primary {
 			continue
 		}
-		if best.Name == "" || m.before(best) {
-			best = m
+		if best.Name == "" || inst.preferredTo(best) {
+			best = inst
 		}
 	}
 	return best, best.Name != ""
 }
 
-// ConfirmingRequest returns the record by which a group goes on under a primary that an order has
-// named although it led already: the platform then changes nothing, and the term that
-// the order was to lead to never comes. given is when the order was answered with
-// success, now a moment at which the instance still leads in term t.
-func (b *PrimaryState) ConfirmingRequest(i fleet.Instance, t fleet.Term,
-	given, now time.Time) (PromotionRequest, bool) {
-	if b.settled || i != b.primary || t >= b.record.Term || given.IsZero() || now.Sub(given) < affirmAfter {
+// ConfirmingRequest returns the request that records instance i as the primary in term, which it is
+// already in although the last record names a later term. When the platform is asked to promote the
+// instance that is the primary already, it changes nothing, and the recorded term never begins.
+// acceptedAt is when the platform accepted the promotion request, now a time at which the instance
+// is still the primary in term.
+func (p *PrimaryState) ConfirmingRequest(i fleet.Instance, term fleet.Term,
+	acceptedAt, now time.Time) (PromotionRequest, bool) {
+	if p.confirmed || i != p.primary || term >= p.record.Term || acceptedAt.IsZero() ||
+		now.Sub(acceptedAt) < confirmAfter {
 		return PromotionRequest{}, false
 	}
-	return PromotionRequest{Primary: i, Former: i, Term: t, Reason: ReasonAlreadyPrimary, BaseRevision: b.record.Revision}, true
+	return PromotionRequest{
+		Primary: i, Former: i, Term: term, Reason: ReasonAlreadyPrimary, BaseRevision: p.record.Revision,
+	}, true
 }
 
-func (m InstanceInfo) before(o InstanceInfo) bool {
-	if m.Leads != o.Leads {
-		return o.Leads
+func (i InstanceInfo) preferredTo(other InstanceInfo) bool {
+	if i.Leads != other.Leads {
+		return other.Leads
 	}
-	if c := m.Received.Compare(o.Received); c != 0 {
+	if c := i.Received.Compare(other.Received); c != 0 {
 		return c > 0
 	}
-	if m.OutsideRegion != o.OutsideRegion {
-		return o.OutsideRegion
+	if i.OutsideRegion != other.OutsideRegion {
+		return other.OutsideRegion
 	}
-	if m.Cold != o.Cold {
-		return o.Cold
+	if i.Cold != other.Cold {
+		return other.Cold
 	}
-	return m.Name < o.Name
+	return i.Name < other.Name
 }
--- a/core/leader/proof.go
+++ b/core/leader/proof.go
@@ -7,176 +7,181 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Verdict says whether an answer of an instance came from the group's primary.
+// Verdict is whether an answer of an instance came from the group's primary.
 type Verdict string
 
 // The verdicts on an answer.
 const (
 	// VerdictVerified lets the answer go to its caller.
 	VerdictVerified Verdict = "proved"
-	// VerdictAsk holds it until other instances have said that they lead no later term.
+	// VerdictAsk holds the answer back until other instances have reported that they are in no
+	// later term.
 	VerdictAsk Verdict = "ask"
-	// VerdictRefuted means that another primary may have been at work already.
+	// VerdictRefuted means that another primary may have taken over already.
 	VerdictRefuted Verdict = "refuted"
 )
 
-// VerifyAnswer says what an answer of i, that has just come, needs before it may be given, and
-// the term that i led in. certain tells that no order can have taken effect that this
-// host has no record of.
+// VerifyAnswer returns what an answer that has just arrived from instance i needs before its caller
+// may get it, the term in which i is the primary and, with VerdictAsk, the instances to ask.
+// recordsCurrent tells that no promotion can have taken effect of which this host has no record.
 //
-// The guard is against a primary that was replaced and doesn't know it, on the far side
-// of a cut or before the order reaches it: its writes are lost and its reads are old.
-// With certain records only the instance that the last record names can lead beside
-// the one that answered. Without them any other instance may, so each has to be asked;
-// a majority isn't enough, as a promotion needs no majority. Nor is the position that
-// comes with every answer: a promotion writes no entry.
-func (b *PrimaryState) VerifyAnswer(
-	i fleet.Instance, certain bool, others []fleet.Instance,
+// Guards against a primary that was replaced and has not noticed, because of a network partition or
+// because the promotion has not reached it: its writes are lost and its reads are stale. If the
+// records are current, only the instance that the last record names can be the primary beside the
+// one that answered. Otherwise any other instance may be, so each of them has to be asked. A
+// majority isn't enough, as a promotion needs no majority. The log position that comes with every
+// answer isn't enough either, as a promotion writes no log entry.
+func (p *PrimaryState) VerifyAnswer(
+	i fleet.Instance, recordsCurrent bool, others []fleet.Instance,
 ) (Verdict, fleet.Term, []fleet.Instance) {
-	if i == b.primary && b.settled {
-		if certain {
-			return VerdictVerified, b.term, nil
+	if i == p.primary && p.confirmed {
+		if recordsCurrent {
+			return VerdictVerified, p.term, nil
 		}
-		return VerdictAsk, b.term, others
+		return VerdictAsk, p.term, others
 	}
-	if i != b.former || b.settled {
+	if i != p.former || p.confirmed {
 		return VerdictRefuted, 0, nil
 	}
-	if certain {
-		return VerdictAsk, b.formerTerm, []fleet.Instance{b.primary}
+	if recordsCurrent {
+		return VerdictAsk, p.formerTerm, []fleet.Instance{p.primary}
 	}
-	if !slices.Contains(others, b.primary) {
-		// The one that the last order named may lead although it is off the list.
-		others = append(others, b.primary)
+	if !slices.Contains(others, p.primary) {
+		// The instance that the last record names may be the primary although it isn't in the list.
+		others = append(others, p.primary)
 	}
-	return VerdictAsk, b.formerTerm, others
+	return VerdictAsk, p.formerTerm, others
 }
 
-// PendingAnswer is an answer that waits for its proof.
+// PendingAnswer is an answer that is pending verification.
 type PendingAnswer struct {
-	// Key names the answer to whoever holds it.
+	// Key identifies the answer for the caller of Add.
 	Key      uint64
 	Instance fleet.Instance
 	Term     fleet.Term
-	// At is when the answer came, Deadline how long its proof may take.
+	// At is when the answer arrived, Deadline when its verification must be complete.
 	At, Deadline time.Time
 
 	missing []fleet.Instance
 }
 
-// PendingAnswers are the claims that wait. The zero PendingAnswers holds none.
+// PendingAnswers are the answers that are pending verification. The zero PendingAnswers holds none.
 type PendingAnswers struct {
-	waiting []PendingAnswer
+	pending []PendingAnswer
 }
 
-// Add has c wait for an answer of each of others that was asked for after c.At.
-func (p *PendingAnswers) Add(c PendingAnswer, others []fleet.Instance) {
-	c.missing = slices.Clone(others)
-	p.waiting = append(p.waiting, c)
+// Add keeps a pending until each of others has reported its status in response to a request that
+// was sent no earlier than a.At.
+func (p *PendingAnswers) Add(a PendingAnswer, others []fleet.Instance) {
+	a.missing = slices.Clone(others)
+	p.pending = append(p.pending, a)
 }
 
-// AddStatus takes in that i, asked at some moment, has said to be in term t. It returns
-// the claims that are proved by it and those that are refuted.
-func (p *PendingAnswers) AddStatus(i fleet.Instance, asked time.Time, t fleet.Term) (proved, refuted []PendingAnswer) {
-	kept := p.waiting[:0]
-	for _, c := range p.waiting {
-		n := slices.Index(c.missing, i)
+// AddStatus adds the status of instance i, which was asked for at askedAt and gives term as its
+// term. It returns the answers that are now verified and those that are refuted.
+func (p *PendingAnswers) AddStatus(
+	i fleet.Instance, askedAt time.Time, term fleet.Term,
+) (verified, refuted []PendingAnswer) {
+	kept := p.pending[:0]
+	for _, a := range p.pending {
+		n := slices.Index(a.missing, i)
 		switch {
-		case n < 0 || asked.Before(c.At):
-			kept = append(kept, c)
-		case t > c.Term:
-			refuted = append(refuted, c)
+		case n < 0 || askedAt.Before(a.At):
+			kept = append(kept, a)
+		case term > a.Term:
+			refuted = append(refuted, a)
 		default:
-			c.missing = slices.Delete(c.missing, n, n+1)
-			if len(c.missing) == 0 {
-				proved = append(proved, c)
+			a.missing = slices.Delete(a.missing, n, n+1)
+			if len(a.missing) == 0 {
+				verified = append(verified, a)
 				continue
 			}
-			kept = append(kept, c)
+			kept = append(kept, a)
 		}
 	}
-	p.waiting = kept
-	return proved, refuted
+	p.pending = kept
+	return verified, refuted
 }
 
-// Expire returns the claims whose deadline has passed.
+// Expire removes and returns the answers whose deadline has passed.
 func (p *PendingAnswers) Expire(now time.Time) []PendingAnswer {
-	var out []PendingAnswer
-	p.waiting = slices.DeleteFunc(p.waiting, func(c PendingAnswer) bool {
+	var expired []PendingAnswer
+	p.pending = slices.DeleteFunc(p.pending, func(c PendingAnswer) bool {
 		late := now.After(c.Deadline)
 		if late {
-			out = append(out, c)
+			expired = append(expired, c)
 		}
 		return late
 	})
-	return out
+	return expired
 }
 
-// Awaited returns the instances whose answers are missing, each with the moment after
-// which it has to be asked.
+// Awaited returns the instances whose status is still missing, each with the time from which on its
+// status has to be asked for.
 func (p *PendingAnswers) Awaited() map[fleet.Instance]time.Time {
-	if len(p.waiting) == 0 {
+	if len(p.pending) == 0 {
 		return nil
 	}
-	out := map[fleet.Instance]time.Time{}
-	for _, c := range p.waiting {
-		for _, i := range c.missing {
-			if c.At.After(out[i]) {
-				out[i] = c.At
+	askAfter := map[fleet.Instance]time.Time{}
+	for _, a := range p.pending {
+		for _, i := range a.missing {
+			if a.At.After(askAfter[i]) {
+				askAfter[i] = a.At
 			}
 		}
 	}
-	return out
+	return askAfter
 }
 
-// Len returns how many claims wait.
-func (p *PendingAnswers) Len() int { return len(p.waiting) }
+// Len returns the number of pending answers.
+func (p *PendingAnswers) Len() int { return len(p.pending) }
 
-// LeaseValidity is how long a renewed registration proves that no order has taken
-// effect. The platform takes 1 s to carry one out; the rest is for a host that is slow
-// between looking at its clock and writing the answer.
+// LeaseValidity is how long a renewed registration proves that no unknown promotion has taken
+// effect. The platform takes 1 s to carry out a promotion. The remaining 0.3 s are for a host that
+// is slow between reading its clock and writing the answer.
 const LeaseValidity = 700 * time.Millisecond
 
-// Lease is what a host knows of its registration in the platform's store. Whoever gives
-// an order ends the registrations of all other hosts first, so that a renewal which
-// has succeeded proves that no order was given before it was sent.
+// Lease is what a host knows about its registration in the platform's store. The host that requests
+// a promotion first ends the registrations of all other hosts, so that a successful renewal proves
+// that no promotion was requested before the renewal was sent.
 type Lease struct {
-	sent time.Time
-	// last is sent, also after the registration has ended.
-	last time.Time
+	renewalSent time.Time
+	// lastRenewalSent is renewalSent, kept after the registration has ended.
+	lastRenewalSent time.Time
 }
 
-// Renewed takes in a renewal that was sent at some moment and has succeeded.
+// Renewed notes a successful renewal that was sent at sent.
 func (l *Lease) Renewed(sent time.Time) {
-	if sent.After(l.sent) {
-		l.sent = sent
+	if sent.After(l.renewalSent) {
+		l.renewalSent = sent
 	}
-	if sent.After(l.last) {
-		l.last = sent
+	if sent.After(l.lastRenewalSent) {
+		l.lastRenewalSent = sent
 	}
 }
 
-// Until returns the moment up to which no order can have taken effect that wasn't known at the
-// last renewal. It holds on when the registration has ended: what is given after the end takes
-// its time too.
+// Until returns the time up to which no promotion can have taken effect that wasn't known at the
+// last renewal. It stays valid when the registration has ended, because a promotion that is
+// requested after that takes its time too.
 func (l *Lease) Until() time.Time {
-	if l.last.IsZero() {
+	if l.lastRenewalSent.IsZero() {
 		return time.Time{}
 	}
-	return l.last.Add(LeaseValidity)
+	return l.lastRenewalSent.Add(LeaseValidity)
 }
 
-// StoreSilentAfter is how long after a renewal that has succeeded was sent the store counts as silent: the
-// next one is sent 0.3 s after it, and a store that is well answers in some ms.
+// StoreSilentAfter is how long after the sending of the last successful renewal the store counts as
+// silent. The next renewal is sent 0.3 s after it, and a healthy store answers within a few
+// milliseconds.
 const StoreSilentAfter = 450 * time.Millisecond
 
-// StoreSilent reports whether the store has let renewals go unanswered. It may be slow.
-func (l *Lease) StoreSilent(now time.Time) bool { return now.Sub(l.last) > StoreSilentAfter }
+// StoreSilent reports whether the store has left renewals unanswered. It may just be slow.
+func (l *Lease) StoreSilent(now time.Time) bool { return now.Sub(l.lastRenewalSent) > StoreSilentAfter }
 
-// Lost takes in that the registration has ended.
-func (l *Lease) Lost() { l.sent = time.Time{} }
+// Lost notes that the registration has ended.
+func (l *Lease) Lost() { l.renewalSent = time.Time{} }
 
-// RecordsCurrent reports whether no order that the host doesn't know of can have taken effect.
+// RecordsCurrent reports whether no promotion can have taken effect that this host doesn't know of.
 func (l *Lease) RecordsCurrent(now time.Time) bool {
-	return !l.sent.IsZero() && now.Before(l.sent.Add(LeaseValidity))
+	return !l.renewalSent.IsZero() && now.Before(l.renewalSent.Add(LeaseValidity))
 }
