--- a/core/follow/clock.go
+++ b/core/follow/clock.go
@@ -3,41 +3,42 @@
 import "time"
 
 const (
-	// driftPart is the part of a span by which two hosts' clocks may differ over it: ten times
-	// what a computer's clock is usually off.
-	driftPart = 1000
-	// echoFor is how far from an echo a moment may lie to be translated.
-	echoFor = 10 * time.Second
+	// maxDriftDivisor is the divisor that gives, from a time span, the most that two hosts' clocks
+	// may drift apart over it: a thousandth, which is ten times the usual drift of a computer's
+	// clock.
+	maxDriftDivisor = 1000
+	// maxEchoDistance is how far a time may lie from the echo by which it is translated.
+	maxEchoDistance = 10 * time.Second
 )
 
-// ClockMapping translates moments of another host's clock into this one's, so that none comes out later
-// than it was.
+// ClockMapping translates times of another host's clock into times of this host's clock, such that
+// no translated time is later than the actual one.
 //
-// The guard is on what is believed because it is recent: a renewal, a reading of the store. Clocks
-// of two hosts count from different moments, and how long a message was on its way isn't known.
-// But a question is sent before it is heard: what the other host's clock showed when it heard the
-// question was not before the question was sent by this one's.
+// Guards against a renewal, or a copy of the store's content, that seems more recent than it is.
+// The clocks of two hosts start at different times, and the delay of a message isn't known. But the
+// other host receives a request no earlier than this host sent it, which bounds the difference of
+// the clocks.
 type ClockMapping struct {
 	sent, heard time.Time
 }
 
-// Observe takes in that a question, sent at some moment of this host's clock, was heard at some
-// moment of the other's.
+// Observe adds an echo: a request sent at sent, by this host's clock, was received at heard, by the
+// other host's clock.
 func (c *ClockMapping) Observe(sent, heard time.Time) {
 	if sent.After(c.sent) {
 		c.sent, c.heard = sent, heard
 	}
 }
 
-// NotBefore returns a moment of this host's clock that isn't after the given one of the other's,
-// and false if that can't be told.
+// NotBefore returns a time of this host's clock that isn't after at, a time of the other host's
+// clock. It returns false if there was no echo yet, or only one too far from at.
 func (c *ClockMapping) NotBefore(at time.Time) (time.Time, bool) {
 	if c.sent.IsZero() || at.IsZero() {
 		return time.Time{}, false
 	}
-	span := at.Sub(c.heard)
-	if span.Abs() > echoFor {
+	sinceEcho := at.Sub(c.heard)
+	if sinceEcho.Abs() > maxEchoDistance {
 		return time.Time{}, false
 	}
-	return c.sent.Add(span - span.Abs()/driftPart), true
+	return c.sent.Add(sinceEcho - sinceEcho.Abs()/maxDriftDivisor), true
 }
--- a/core/follow/follow.go
+++ b/core/follow/follow.go
@@ -1,9 +1,10 @@
-// Package follow decides how the hosts of a large fleet learn what stands in the platform's store
-// without each asking it.
+// Package follow decides how the hosts of a large fleet learn the content of the platform's store
+// without each of them reading it.
 //
-// Some hosts of each data centre, the readers, are registered in the store and read it; the others
-// follow one of them, which passes on what it reads and when its registration was last renewed.
-// What a fleet asks the store then grows with its data centres, not with its hosts.
+// Some hosts of each data centre, the readers, are registered in the store and read it. The other
+// hosts each follow one of them: the reader passes on what it reads, and when its registration was
+// last renewed. The number of calls to the store then grows with the data centres, not with the
+// hosts.
 package follow
 
 import "time"
@@ -19,26 +20,27 @@
 	PartHosts     Part = "hosts"
 )
 
-// Version tells one content of a part from another; zero is none.
+// Version identifies a part's content. Zero means no content.
 type Version uint64
 
-// PartCopy is one part as a reader has it.
+// PartCopy is a reader's copy of one part.
 type PartCopy[T any] struct {
 	Version Version
-	// Read is when the reader began to read it.
+	// Read is when the reader began to read the part.
 	Read time.Time
-	// HasBody is set where Body is given: it is left out for a follower that has the version.
+	// HasBody is set where Body is given. Body is left out for a follower that already has the
+	// version.
 	HasBody bool
 	Body    T
 }
 
-// PartCache are the parts as a reader has them. The zero PartCache has none.
+// PartCache holds a reader's copies of the parts. The zero PartCache is empty.
 type PartCache[T any] struct {
 	parts map[Part]PartCopy[T]
 }
 
-// Put takes in a part as it was read at some moment. A reading that was begun before the last one
-// changes nothing.
+// Put stores a part that was read at read. A copy whose reading began before that of the stored one
+// is ignored.
 func (c *PartCache[T]) Put(p Part, v Version, read time.Time, body T) {
 	if c.parts == nil {
 		c.parts = map[Part]PartCopy[T]{}
@@ -49,16 +51,17 @@
 	c.parts[p] = PartCopy[T]{Version: v, Read: read, HasBody: true, Body: body}
 }
 
-// UpdatesFor returns the parts for a follower that has some versions, and notes in has what it then has.
+// UpdatesFor returns all parts for a follower that has the versions in has, without the bodies that
+// the follower already has. It sets has to the versions that the follower has afterwards.
 func (c *PartCache[T]) UpdatesFor(has map[Part]Version) map[Part]PartCopy[T] {
 	out := make(map[Part]PartCopy[T], len(c.parts))
-	for p, o := range c.parts {
-		if has[p] == o.Version {
-			var none T
-			o.HasBody, o.Body = false, none
+	for p, part := range c.parts {
+		if has[p] == part.Version {
+			var zero T
+			part.HasBody, part.Body = false, zero
 		}
-		out[p] = o
-		has[p] = o.Version
+		out[p] = part
+		has[p] = part.Version
 	}
 	return out
 }
--- a/core/follow/follow_test.go
+++ b/core/follow/follow_test.go
@@ -24,35 +24,35 @@
 	// false
 }
 
-// Guards against a reader that ends as it is followed before it has read anything, as one that steps
-// in while the store is down.
-func TestReaderThatHasReadNothingTellsNothing(t *testing.T) {
+// Guards against a panic on a reader that has not read anything yet when it is followed, such as
+// one that took over while the store was down.
+func TestReaderWithoutPartsPassesOnNothing(t *testing.T) {
 	c := qt.New(t)
-	var s follow.PartCache[string]
+	var cache follow.PartCache[string]
 	has := map[follow.Part]follow.Version{}
-	parts := s.UpdatesFor(has)
+	parts := cache.UpdatesFor(has)
 	c.Assert(parts, qt.HasLen, 0)
-	// Whoever passes them on adds the hosts.
+	// The sender of the update adds the hosts.
 	parts[follow.PartHosts] = follow.PartCopy[string]{HasBody: true}
 	c.Assert(has, qt.HasLen, 0)
 }
 
-// Guards against an older reading, whose answer came late, in place of a newer one.
-func TestOlderReadingChangesNothing(t *testing.T) {
+// Guards against an older copy that arrives late and replaces a newer one.
+func TestOlderReadIsIgnored(t *testing.T) {
 	c := qt.New(t)
-	var s follow.PartCache[string]
-	s.Put(follow.PartInstances, 2, time.Unix(5, 0), "new")
-	s.Put(follow.PartInstances, 1, time.Unix(4, 0), "old")
-	c.Assert(s.UpdatesFor(map[follow.Part]follow.Version{})[follow.PartInstances].Body, qt.Equals, "new")
+	var cache follow.PartCache[string]
+	cache.Put(follow.PartInstances, 2, time.Unix(5, 0), "new")
+	cache.Put(follow.PartInstances, 1, time.Unix(4, 0), "old")
+	c.Assert(cache.UpdatesFor(map[follow.Part]follow.Version{})[follow.PartInstances].Body, qt.Equals, "new")
 }
 
-// Guards against moments that look more recent than they are, by clocks that differ and messages
-// that are long on their way.
-func TestNoMomentIsTranslatedTooLate(t *testing.T) {
+// Guards against translated times that seem more recent than they are, with clocks that differ and
+// messages that are delayed.
+func TestTranslatedTimeIsNeverTooLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// The true time is this host's clock; the other's is ahead or behind, and drifts.
-		span := func(name string, most time.Duration) time.Duration {
-			return time.Duration(rapid.Int64Range(0, int64(most)).Draw(t, name))
+		// The true time is this host's clock. The other clock is ahead or behind, and drifts.
+		span := func(name string, limit time.Duration) time.Duration {
+			return time.Duration(rapid.Int64Range(0, int64(limit)).Draw(t, name))
 		}
 		offset := span("offset", time.Hour) - 30*time.Minute
 		drift := rapid.Float64Range(-0.0005, 0.0005).Draw(t, "drift")
@@ -69,75 +69,75 @@
 		at := sent.Add(span("at", 15*time.Second) - 5*time.Second)
 		got, ok := c.NotBefore(other(at))
 		if ok && got.After(at) {
-			t.Fatalf("%v was taken for %v", at, got)
+			t.Fatalf("%v was translated to %v", at, got)
 		}
 	})
 }
 
-// Guards against a follower that takes a primary's answers for proved after an order has taken
-// effect that it has not heard of: the reader's registration was ended, and the news of it, or of
-// the renewals before it, were long on their way.
-func TestFollowerIsNotCertainOnceAnOrderHasTakenEffect(t *testing.T) {
+// Guards against a follower that takes a primary's answers for verified after a promotion of which
+// it doesn't know has taken effect: the reader's registration was ended, and the update about that,
+// or about the renewals before it, was delayed.
+func TestFollowerDoesNotTrustItsRecordsAfterAPromotion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		span := func(name string, most time.Duration) time.Duration {
-			return time.Duration(rapid.Int64Range(0, int64(most)).Draw(t, name))
+		span := func(name string, limit time.Duration) time.Duration {
+			return time.Duration(rapid.Int64Range(0, int64(limit)).Draw(t, name))
 		}
 		start := time.Unix(1000, 0)
 		offset := span("offset", time.Hour)
 		ended := start.Add(span("ended", 5*time.Second))
-		effect := ended.Add(leader.LeaseValidity)
+		tookEffect := ended.Add(leader.LeaseValidity)
 		var c follow.ClockMapping
 		var l leader.Lease
 		arrived := start
 		for sent := start; sent.Before(ended.Add(3 * time.Second)); sent = sent.Add(300 * time.Millisecond) {
-			// The store has ended the registration before a renewal reaches it from then on.
+			// Once the store has ended the registration, no renewal succeeds.
 			reached := sent.Add(span("to the store", 50*time.Millisecond))
 			if !reached.Before(ended) {
 				break
 			}
-			// News come in their order, each after some time; the question that they echo was sent
-			// before the reader heard it.
+			// Updates arrive in order, each after some delay. The request that an update echoes was
+			// sent before the reader received it.
 			arrived = later(arrived, reached).Add(span("on the way", 2*time.Second))
 			heard := reached.Add(-span("heard", 300*time.Millisecond))
 			c.Observe(heard.Add(-span("asked", time.Second)), heard.Add(offset))
 			if at, ok := c.NotBefore(sent.Add(offset)); ok {
 				l.Renewed(at)
 			}
-			if at := later(arrived, effect); l.RecordsCurrent(at) {
-				t.Fatalf("certain %v after the order took effect", at.Sub(effect))
+			if at := later(arrived, tookEffect); l.RecordsCurrent(at) {
+				t.Fatalf("records trusted %v after the promotion took effect", at.Sub(tookEffect))
 			}
 		}
 	})
 }
 
-// Guards against a follower that takes a renewal for proof although it lacks a record: it had left the
-// reader for another one, and what the reader passed on meanwhile was not taken in.
-func TestFollowerThatComesBackAsksForEverything(t *testing.T) {
+// Guards against a follower that relies on a renewal although it lacks a record: it had left the
+// reader for another one, and ignored what the reader passed on in the meantime.
+func TestReturningFollowerRequestsAllParts(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return now.Add(d * time.Millisecond) }
-	var r follow.PartCache[string]
-	r.Put(follow.PartRecords, 1, at(0), "no order")
+	var reader follow.PartCache[string]
+	reader.Put(follow.PartRecords, 1, at(0), "no order")
 	has := map[follow.Part]follow.Version{}
-	var s follow.Subscription
-	s.Begin("r1", at(0))
-	c.Assert(s.Ask(), qt.IsTrue)
-	c.Assert(s.Accepts("r1", at(1)), qt.IsTrue)
-	r.UpdatesFor(has)
-	c.Assert(s.Ask(), qt.IsFalse)
-	s.Begin("r2", at(500))
-	r.Put(follow.PartRecords, 2, at(600), "an order")
-	c.Assert(r.UpdatesFor(has)[follow.PartRecords].HasBody, qt.IsTrue)
-	c.Assert(s.Accepts("r1", at(1)), qt.IsFalse)
-	s.Begin("r1", at(900))
-	// What is still on its way says nothing of the record any more.
-	c.Assert(r.UpdatesFor(has)[follow.PartRecords].HasBody, qt.IsFalse)
-	c.Assert(s.Accepts("r1", at(1)), qt.IsFalse)
-	if s.Ask() {
+	var sub follow.Subscription
+	sub.Begin("r1", at(0))
+	c.Assert(sub.Ask(), qt.IsTrue)
+	c.Assert(sub.Accepts("r1", at(1)), qt.IsTrue)
+	reader.UpdatesFor(has)
+	c.Assert(sub.Ask(), qt.IsFalse)
+	sub.Begin("r2", at(500))
+	reader.Put(follow.PartRecords, 2, at(600), "an order")
+	c.Assert(reader.UpdatesFor(has)[follow.PartRecords].HasBody, qt.IsTrue)
+	c.Assert(sub.Accepts("r1", at(1)), qt.IsFalse)
+	sub.Begin("r1", at(900))
+	// An update still in transit no longer contains the record.
+	c.Assert(reader.UpdatesFor(has)[follow.PartRecords].HasBody, qt.IsFalse)
+	c.Assert(sub.Accepts("r1", at(1)), qt.IsFalse)
+	if sub.Ask() {
 		clear(has)
 	}
-	c.Assert(r.UpdatesFor(has)[follow.PartRecords].Body, qt.Equals, "an order")
-	c.Assert(s.Accepts("r1", at(901)), qt.IsTrue)
+	c.Assert(reader.UpdatesFor(has)[follow.PartRecords].Body, qt.Equals, "an order")
+	c.Assert(sub.Accepts("r1", at(901)), qt.IsTrue)
 }
 
 func later(a, b time.Time) time.Time {
@@ -147,8 +147,8 @@
 	return b
 }
 
-// centre is the hosts of one data centre, which hear each other's reports late.
-type centre struct {
+// dataCentre is a simulated data centre whose hosts receive each other's reports late.
+type dataCentre struct {
 	now   time.Time
 	hosts []*host
 }
@@ -157,138 +157,140 @@
 	follow.Candidate
 	since, renewed time.Time
 	dead           bool
-	// told is what the others have heard of it, which becomes so at toldAt.
-	told, next follow.Candidate
-	refused    bool
+	// visible is the report that the other hosts have received; nextReport replaces it with the
+	// next round of reports.
+	visible, nextReport follow.Candidate
+	refused             bool
 }
 
-func newCentre(n int) *centre {
-	s := &centre{now: time.Unix(1000, 0)}
-	for h := range n {
-		o := &host{Candidate: follow.Candidate{Host: fleet.Host(fmt.Sprintf("h%d", h)), Capacity: 0.2}, since: s.now}
-		if h < 3 {
-			o.Capacity = 0.8
+func newDataCentre(n int) *dataCentre {
+	dc := &dataCentre{now: time.Unix(1000, 0)}
+	for i := range n {
+		h := &host{Candidate: follow.Candidate{Host: fleet.Host(fmt.Sprintf("h%d", i)), Capacity: 0.2}, since: dc.now}
+		if i < 3 {
+			h.Capacity = 0.8
 		}
-		// The census of a start has found nobody, for the first of them.
-		o.IsReader = h == 0
-		s.hosts = append(s.hosts, o)
+		// At the start the first host has found no other host registered, so it is a reader.
+		h.IsReader = i == 0
+		dc.hosts = append(dc.hosts, h)
 	}
-	return s
+	return dc
 }
 
-// run lets time go by; reports take 0.4 s at most.
-func (s *centre) run(d time.Duration) (most int) {
+// run simulates a span of time and returns the highest number of readers in it. Reports take 0.4 s
+// at most.
+func (dc *dataCentre) run(d time.Duration) (maxReaders int) {
 	const step = 50 * time.Millisecond
 	for n := range int(d / step) {
-		s.now = s.now.Add(step)
+		dc.now = dc.now.Add(step)
 		if n%8 == 0 {
-			for _, o := range s.hosts {
-				o.told, o.next = o.next, o.Candidate
+			for _, h := range dc.hosts {
+				h.visible, h.nextReport = h.nextReport, h.Candidate
 			}
 		}
 		serving := false
-		for _, o := range s.hosts {
-			o.StoreUnreachable = o.IsReader && o.refused
-			serving = serving || o.IsReader && !o.refused && !o.dead
+		for _, h := range dc.hosts {
+			h.StoreUnreachable = h.IsReader && h.refused
+			serving = serving || h.IsReader && !h.refused && !h.dead
 		}
-		for _, o := range s.hosts {
+		for _, h := range dc.hosts {
 			if serving {
-				o.renewed = s.now
+				h.renewed = dc.now
 			}
-			s.choose(o)
+			dc.choose(h)
 		}
-		most = max(most, s.readers())
+		maxReaders = max(maxReaders, dc.readers())
 	}
-	return most
+	return maxReaders
 }
 
-func (s *centre) choose(o *host) {
-	if o.dead {
+func (dc *dataCentre) choose(h *host) {
+	if h.dead {
 		return
 	}
 	var others []follow.Candidate
-	for _, x := range s.hosts {
-		if x != o && !x.dead && x.told.Host != "" {
-			others = append(others, x.told)
+	for _, other := range dc.hosts {
+		if other != h && !other.dead && other.visible.Host != "" {
+			others = append(others, other.visible)
 		}
 	}
-	reads := follow.Choose(s.now, follow.RoleInput{
-		Self: o.Candidate, Others: others, Since: o.since, Renewed: o.renewed,
+	reads := follow.Choose(dc.now, follow.RoleInput{
+		Self: h.Candidate, Others: others, Since: h.since, Renewed: h.renewed,
 	}) == follow.RoleReader
-	if reads != o.IsReader {
-		o.IsReader, o.since = reads, s.now
+	if reads != h.IsReader {
+		h.IsReader, h.since = reads, dc.now
 	}
 }
 
-func (s *centre) readers() int {
+func (dc *dataCentre) readers() int {
 	n := 0
-	for _, o := range s.hosts {
-		if o.IsReader && !o.dead {
+	for _, h := range dc.hosts {
+		if h.IsReader && !h.dead {
 			n++
 		}
 	}
 	return n
 }
 
-// Guards against calls to the store that grow with the fleet: renewals are by far the most of them.
+// Guards against calls to the store that grow with the fleet. Most calls are renewals of readers.
 func TestReadersDoNotGrowWithTheDataCentre(t *testing.T) {
 	c := qt.New(t)
 	for _, n := range []int{6, 20, 60, 184} {
-		s := newCentre(n)
-		c.Check(s.run(10*time.Second) <= 4, qt.IsTrue, qt.Commentf("%d hosts", n))
-		c.Check(s.readers(), qt.Equals, 2, qt.Commentf("%d hosts", n))
+		dc := newDataCentre(n)
+		c.Check(dc.run(10*time.Second) <= 4, qt.IsTrue, qt.Commentf("%d hosts", n))
+		c.Check(dc.readers(), qt.Equals, 2, qt.Commentf("%d hosts", n))
 	}
 }
 
-// Guards against a data centre that loses its readers: nothing is proved any more, and no change of
-// the catalog arrives.
+// Guards against a data centre that loses all its readers: no answer is verified any more, and no
+// change of the catalog arrives.
 func TestReadersThatDieAreReplaced(t *testing.T) {
 	c := qt.New(t)
-	s := newCentre(60)
-	s.run(10 * time.Second)
-	for _, o := range s.hosts {
-		o.dead = o.IsReader
+	dc := newDataCentre(60)
+	dc.run(10 * time.Second)
+	for _, h := range dc.hosts {
+		h.dead = h.IsReader
 	}
-	s.run(2 * time.Second)
-	c.Assert(s.readers() > 0, qt.IsTrue)
-	s.run(10 * time.Second)
-	c.Assert(s.readers(), qt.Equals, 2)
+	dc.run(2 * time.Second)
+	c.Assert(dc.readers() > 0, qt.IsTrue)
+	dc.run(10 * time.Second)
+	c.Assert(dc.readers(), qt.Equals, 2)
 }
 
-// Guards against a store that is down and is tried by every host of the fleet, and one that turns
-// the readers away while it would serve others.
-func TestStoreThatServesNobodyIsTriedByFew(t *testing.T) {
+// Guards against an unavailable store that every host of the fleet tries, and against a store that
+// refuses the readers while it would serve other hosts.
+func TestUnavailableStoreIsTriedByFewHosts(t *testing.T) {
 	c := qt.New(t)
-	s := newCentre(60)
-	s.run(10 * time.Second)
-	for _, o := range s.hosts {
-		o.refused = true
+	dc := newDataCentre(60)
+	dc.run(10 * time.Second)
+	for _, h := range dc.hosts {
+		h.refused = true
 	}
-	c.Check(s.run(20*time.Second) <= 9, qt.IsTrue)
-	s = newCentre(60)
-	s.run(10 * time.Second)
-	for _, o := range s.hosts {
-		o.refused = o.IsReader
+	c.Check(dc.run(20*time.Second) <= 9, qt.IsTrue)
+	dc = newDataCentre(60)
+	dc.run(10 * time.Second)
+	for _, h := range dc.hosts {
+		h.refused = h.IsReader
 	}
-	s.run(3 * time.Second)
+	dc.run(3 * time.Second)
 	served := 0
-	for _, o := range s.hosts {
-		if o.IsReader && !o.refused {
+	for _, h := range dc.hosts {
+		if h.IsReader && !h.refused {
 			served++
 		}
 	}
 	c.Check(served > 0, qt.IsTrue)
 }
 
-// Guards against followers that all hang on one reader.
+// Guards against followers that all follow one reader.
 func TestFollowersAreSpread(t *testing.T) {
 	c := qt.New(t)
 	readers := []follow.Candidate{{Host: "a", IsReader: true}, {Host: "b", IsReader: true}, {Host: "c"}}
 	got := map[fleet.Host]int{}
 	for n := range 100 {
-		lead, ok := follow.ChooseReader(fleet.Host(fmt.Sprintf("h%d", n)), readers)
+		reader, ok := follow.ChooseReader(fleet.Host(fmt.Sprintf("h%d", n)), readers)
 		c.Assert(ok, qt.IsTrue)
-		got[lead]++
+		got[reader]++
 	}
 	c.Assert(got["a"]+got["b"], qt.Equals, 100)
 	c.Assert(got["a"] > 25 && got["b"] > 25, qt.IsTrue)
@@ -296,16 +298,16 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-// Guards against more hosts that read after a loss of all than before it: of those that were
-// registered while the store was in trouble, the usual ones go on.
-func TestFirstReaders(t *testing.T) {
+// Guards against more readers after a loss of all hosts than before it: of the hosts that
+// registered while the store was unavailable, only the strongest stay readers.
+func TestStrongestCandidates(t *testing.T) {
 	c := qt.New(t)
 	cs := []follow.Candidate{
 		{Host: "weak-1", Capacity: 0.2}, {Host: "strong", Capacity: 0.8}, {Host: "weak-2", Capacity: 0.2},
 	}
-	first := follow.StrongestCandidates(cs)
-	c.Assert(first, qt.HasLen, 2)
-	c.Assert(first[0].Host, qt.Equals, fleet.Host("strong"))
+	strongest := follow.StrongestCandidates(cs)
+	c.Assert(strongest, qt.HasLen, 2)
+	c.Assert(strongest[0].Host, qt.Equals, fleet.Host("strong"))
 	c.Assert(follow.StrongestCandidates(cs[:1]), qt.HasLen, 1)
 	c.Assert(follow.StrongestCandidates(nil), qt.HasLen, 0)
 }
--- a/core/follow/role.go
+++ b/core/follow/role.go
@@ -10,104 +10,110 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Role is a host's part in reading the store.
+// Role is a host's role in reading the store.
 type Role string
 
-// The roles.
+// The roles of a host.
 const (
 	RoleReader   Role = "reader"
 	RoleFollower Role = "follower"
 )
 
 const (
-	// readers is how many hosts of a data centre read the store, so that the loss of one holds up
-	// nobody for longer than it takes to follow the other.
-	readers = 2
-	// silentFor is how long no reader may have passed on a renewal before hosts that are no
-	// readers step in, one after the other by stepIn: the store may be down for all.
-	silentFor = time.Second
-	stepIn    = 400 * time.Millisecond
-	// mostTries is how many hosts of a data centre try a store that serves none of them.
-	mostTries = 6
-	// settleFor is how long a host waits to hear of others before it takes itself for one that is
-	// to read.
-	settleFor = 2 * time.Second
-	// resignAfter is how long a host stays a reader at least, so that two that hear each other
-	// late don't take turns.
-	resignAfter = 5 * time.Second
+	// readersPerDataCentre is how many hosts of a data centre read the store. If one of them is
+	// lost, its followers only have to switch to the other.
+	readersPerDataCentre = 2
+	// takeoverAfter is how long no reader must have passed on a renewal before other hosts become
+	// readers, one after the other at intervals of takeoverInterval, as the store may be down for
+	// all hosts.
+	takeoverAfter    = time.Second
+	takeoverInterval = 400 * time.Millisecond
+	// maxFailingReaders is how many hosts of a data centre keep trying a store that none of them
+	// can reach.
+	maxFailingReaders = 6
+	// discoveryTime is how long a host waits for reports of other hosts before it may count itself
+	// among the strongest.
+	discoveryTime = 2 * time.Second
+	// minReaderTime is how long a host stays a reader at least, so that two hosts whose reports
+	// reach each other late don't take turns.
+	minReaderTime = 5 * time.Second
 )
 
-// Candidate is a host of a data centre as a reader.
+// Candidate is a host of a data centre that may be a reader.
 type Candidate struct {
 	Host     fleet.Host
 	Capacity fleet.Capacity
-	// IsReader is set while it is a reader, StoreUnreachable while that can't reach the store.
+	// IsReader is set while the host is a reader, StoreUnreachable while it is one that can't reach
+	// the store.
 	IsReader, StoreUnreachable bool
 }
 
-// RoleInput is what a host knows of the readers of its data centre.
+// RoleInput is what a host knows about the readers of its data centre.
 type RoleInput struct {
 	Self Candidate
-	// Others are those that are heard and stay.
+	// Others are the other hosts of the data centre whose reports arrive and that aren't leaving.
 	Others []Candidate
-	// Since is when the host took its role, Renewed when the last renewal of any reader was sent
-	// that it knows of.
+	// Since is when the host took its role. Renewed is when the last known renewal of any reader
+	// was sent.
 	Since, Renewed time.Time
 }
 
 // Choose returns the role that a host is to take.
 //
-// The strongest hosts read, and of alike ones those with the highest hash, so that all that hear
-// each other choose alike. A reader that can't reach the store stays one and tries again, and the
-// next in the order becomes one too: the store may turn some hosts away and serve others. If it
-// serves nobody that goes on slowly, and ends with a few.
-func Choose(now time.Time, s RoleInput) Role {
-	able, better, tries, ahead := 0, 0, 0, 0
-	for _, o := range s.Others {
-		before := order(o, s.Self) < 0
+// The hosts with the highest capacity read. Among hosts of equal capacity the highest hash decides,
+// so that all hosts that receive each other's reports choose alike. A reader that can't reach the
+// store stays a reader and keeps trying, and the next host in the order becomes one too, as the
+// store may refuse some hosts and serve others. If the store serves no host, readers are added
+// slowly and only up to a few.
+func Choose(now time.Time, input RoleInput) Role {
+	working, workingAhead, failing, followersAhead := 0, 0, 0, 0
+	for _, other := range input.Others {
+		before := compareCandidates(other, input.Self) < 0
 		switch {
-		case o.IsReader && o.StoreUnreachable:
-			tries++
-		case o.IsReader && before:
-			able++
-			better++
-		case o.IsReader:
-			able++
+		case other.IsReader && other.StoreUnreachable:
+			failing++
+		case other.IsReader && before:
+			working++
+			workingAhead++
+		case other.IsReader:
+			working++
 		case before:
-			ahead++
+			followersAhead++
 		}
 	}
-	age := now.Sub(s.Since)
+	roleAge := now.Sub(input.Since)
 	switch {
-	case s.Self.IsReader && better >= readers && age > resignAfter:
+	case input.Self.IsReader && workingAhead >= readersPerDataCentre && roleAge > minReaderTime:
 		return RoleFollower
-	case s.Self.IsReader:
+	case input.Self.IsReader:
 		return RoleReader
-	case able+tries+ahead < readers && age > settleFor:
+	case working+failing+followersAhead < readersPerDataCentre && roleAge > discoveryTime:
 		return RoleReader
-	case able < readers && tries < mostTries && silent(now, s) > silentFor+time.Duration(ahead)*stepIn:
+	case working < readersPerDataCentre && failing < maxFailingReaders &&
+		sinceRenewal(now, input) > takeoverAfter+time.Duration(followersAhead)*takeoverInterval:
 		return RoleReader
 	default:
 		return RoleFollower
 	}
 }
 
-// StrongestCandidates returns the candidates that go before all others, as many as read in a data centre.
+// StrongestCandidates returns the first candidates in the order, as many as there are readers in a
+// data centre.
 func StrongestCandidates(cs []Candidate) []Candidate {
-	sorted := slices.SortedFunc(slices.Values(cs), order)
-	return sorted[:min(readers, len(sorted))]
+	sorted := slices.SortedFunc(slices.Values(cs), compareCandidates)
+	return sorted[:min(readersPerDataCentre, len(sorted))]
 }
 
-func silent(now time.Time, s RoleInput) time.Duration {
-	from := s.Renewed
-	if s.Since.After(from) {
-		from = s.Since
+func sinceRenewal(now time.Time, input RoleInput) time.Duration {
+	since := input.Renewed
+	if input.Since.After(since) {
+		since = input.Since
 	}
-	return now.Sub(from)
+	return now.Sub(since)
 }
 
-// order compares two hosts as readers: negative if a goes first.
-func order(a, b Candidate) int {
+// compareCandidates orders two candidates: it is negative if a is preferred as a reader.
+func compareCandidates(a, b Candidate) int {
 	if c := cmp.Compare(b.Capacity, a.Capacity); c != 0 {
 		return c
 	}
@@ -117,37 +123,40 @@
 	return cmp.Compare(a.Host, b.Host)
 }
 
-// ChooseReader returns the reader that a host follows, false if it hears none: any of those that reach
-// the store, chosen by the hash of both, so that the followers of a data centre are spread.
+// ChooseReader returns the reader that a host is to follow, and false if there is none. It chooses
+// among the readers that reach the store, by a hash of both hosts, so that the followers of a data
+// centre are spread over its readers.
 func ChooseReader(self fleet.Host, others []Candidate) (fleet.Host, bool) {
-	able := slices.DeleteFunc(slices.Clone(others), func(o Candidate) bool { return !o.IsReader || o.StoreUnreachable })
-	if len(able) == 0 {
+	working := slices.DeleteFunc(slices.Clone(others), func(o Candidate) bool { return !o.IsReader || o.StoreUnreachable })
+	if len(working) == 0 {
 		return "", false
 	}
-	best := slices.MaxFunc(able, func(a, b Candidate) int {
-		return cmp.Compare(bond(self, a.Host), bond(self, b.Host))
+	best := slices.MaxFunc(working, func(a, b Candidate) int {
+		return cmp.Compare(hashWeight(self, a.Host), hashWeight(self, b.Host))
 	})
 	return best.Host, true
 }
 
-func bond(follower, reader fleet.Host) uint64 {
+func hashWeight(follower, reader fleet.Host) uint64 {
 	return xxhash.Sum64String(string(follower) + "/" + string(reader))
 }
 
 const (
-	// firstWait, divided by a host's capacity, is how long a host of a fleet whose size isn't known
-	// waits for others to register first; usualCapacity stands for one that isn't known.
-	firstWait     = 80 * time.Millisecond
-	usualCapacity = 0.5
-	// mostWait bounds that wait.
-	mostWait = time.Second
+	// baseRegistrationDelay, divided by a host's capacity, is how long a host waits for other hosts
+	// to register first while the size of its fleet is unknown. defaultCapacity replaces an unknown
+	// capacity.
+	baseRegistrationDelay = 80 * time.Millisecond
+	defaultCapacity       = 0.5
+	// maxRegistrationDelay bounds that wait.
+	maxRegistrationDelay = time.Second
 )
 
-// RegistrationDelay returns how long a host that finds no reader of its data centre in the store waits
-// before it registers: strong hosts go first, and the others find them when they look again.
+// RegistrationDelay returns how long a host that finds no reader of its data centre in the store
+// waits before it registers. Strong hosts register first, and the others find them when they check
+// again.
 func RegistrationDelay(c fleet.Capacity) time.Duration {
 	if c <= 0 {
-		c = usualCapacity
+		c = defaultCapacity
 	}
-	return min(time.Duration(float64(firstWait)/float64(c)), mostWait)
+	return min(time.Duration(float64(baseRegistrationDelay)/float64(c)), maxRegistrationDelay)
 }
--- a/core/follow/session.go
+++ b/core/follow/session.go
@@ -6,35 +6,37 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Subscription is one time of following a reader. The zero Subscription follows nobody.
+// Subscription is one period of following a reader. The zero Subscription follows no reader.
 //
-// The guard is on a follower that leaves a reader and comes back over the same link. What the reader
-// passed on meanwhile was not taken in, records of orders among it; a renewal that is taken for
-// proof behind them would prove what isn't so. A session therefore begins with a question for
-// everything, and takes in only what was sent after that question was heard.
+// Guards against a follower that leaves a reader and returns to it over the same link. It has
+// ignored what the reader passed on in between, records of promotion requests among it. A later
+// renewal would then seem to confirm records that are outdated. A subscription therefore begins
+// with a request for all parts, and accepts only updates that were sent after the reader had
+// received that request.
 type Subscription struct {
-	// Reader is the reader.
+	// Reader is the host that is followed.
 	Reader fleet.Host
-	// Clock translates its moments.
-	Clock ClockMapping
-	began time.Time
-	asked bool
+	// Clock translates times of the reader's clock.
+	Clock         ClockMapping
+	began         time.Time
+	fullRequested bool
 }
 
-// Begin has the host follow a reader from now on.
-func (s *Subscription) Begin(lead fleet.Host, now time.Time) {
-	*s = Subscription{Reader: lead, began: now}
+// Begin starts to follow a reader at now, and drops the state of the previous subscription.
+func (s *Subscription) Begin(reader fleet.Host, now time.Time) {
+	*s = Subscription{Reader: reader, began: now}
 }
 
-// Ask returns whether the next question to the reader is to ask for everything.
-func (s *Subscription) Ask() (whole bool) {
-	whole = !s.asked
-	s.asked = true
-	return whole
+// Ask reports whether the next request to the reader has to ask for all parts, and notes that it
+// did.
+func (s *Subscription) Ask() (full bool) {
+	full = !s.fullRequested
+	s.fullRequested = true
+	return full
 }
 
-// Accepts reports whether news are to be taken in that come from a host and echo a question which
-// was sent at some moment of this host's clock.
-func (s *Subscription) Accepts(from fleet.Host, echo time.Time) bool {
-	return s.Reader != "" && from == s.Reader && !echo.Before(s.began)
+// Accepts reports whether to take in an update from a host. requestSent is when the request that
+// the update echoes was sent, by this host's clock.
+func (s *Subscription) Accepts(from fleet.Host, requestSent time.Time) bool {
+	return s.Reader != "" && from == s.Reader && !requestSent.Before(s.began)
 }
