--- a/core/roster/roles.go
+++ b/core/roster/roles.go
@@ -1,5 +1,5 @@
-// Package roster keeps which hosts are live or leaving, and which of them has
-// which role. It reads no clock and does no input or output.
+// Package roster keeps which hosts are live or leaving, and which of them has which duty. It reads
+// no clock and does no input or output.
 package roster
 
 import (
@@ -13,9 +13,9 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Duty is a role that falls to one host, such as "watcher obihiro". Two hosts
-// with different rosters may both believe that they have it, so what a duty does
-// has to be fenced by other means.
+// Duty is a role that falls to one host by hashing, such as that of the watcher for data centre
+// obihiro. Two hosts with different rosters may both take themselves for its holder, so the actions
+// of a holder have to be fenced by other means.
 type Duty string
 
 // Watcher is the duty of watching the platform's store for a data centre.
@@ -23,55 +23,55 @@
 	return Duty("watcher\x00" + string(d))
 }
 
-// Shard is a part of the client accounts of all services. The accounts of one
-// shard have their home in a data centre on the same host.
+// Shard is a part of the client accounts of all services. In each data centre, one host owns all
+// accounts of a shard.
 type Shard int
 
-// Shards is how many shards there are. It is four times the hosts of a data
-// centre of today's size, so that homes spread evenly; a data centre of 92 hosts
-// has homes on half of them, each for a thirty-second of the accounts. Hosts of
-// two versions with another number would both be homes of one account: it can't
-// be changed in a rolling restart.
+// Shards is the number of shards. It is four times the number of hosts in a data centre of the
+// usual size, so that ownership is spread evenly. In a data centre of 92 hosts at most 32 of them
+// own a shard, with a thirty-second of the accounts each. Two versions with different numbers of
+// shards would give one account two owners, so the number can't be changed in a rolling restart.
 const Shards = 32
 
-// ShardOf returns the shard of the account a of service s.
+// ShardOf returns the shard of account a of service s.
 func ShardOf(s fleet.Service, a fleet.Account) Shard {
 	return Shard(xxhash.Sum64String(string(s)+"\x00"+string(a)) % Shards)
 }
 
-// Home is the duty of granting the share of data centre d to the accounts of h.
+// Home is the duty of owning shard h in data centre d: its holder grants the data centre's share to
+// the accounts of the shard.
 func Home(d fleet.DataCentre, h Shard) Duty {
 	return Duty("home\x00" + string(d) + "\x00" + strconv.Itoa(int(h)))
 }
 
-// DutyHolder returns the host among members that has the duty, or none. Leaving
-// hosts get no duty as long as any other host is there. The order of members
-// makes no difference, and a host that comes or goes moves only its own duties.
+// DutyHolder returns the member that has the duty, and false if there are no members. A leaving
+// host gets no duty while there is a member that isn't leaving. The order of members makes no
+// difference, and a host that joins or leaves moves only its own duties.
 func DutyHolder(members []fleet.Member, d Duty) (fleet.Member, bool) {
-	m := eligible(members)
-	if len(m) == 0 {
+	candidates := eligible(members)
+	if len(candidates) == 0 {
 		return fleet.Member{}, false
 	}
-	names := make([]string, len(m))
-	for i, e := range m {
+	names := make([]string, len(candidates))
+	for i, e := range candidates {
 		names[i] = string(e.Host)
 	}
-	won := rendezvous.New(names, xxhash.Sum64String).Lookup(string(d))
-	i := slices.IndexFunc(m, func(e fleet.Member) bool { return string(e.Host) == won })
-	return m[i], true
+	winner := rendezvous.New(names, xxhash.Sum64String).Lookup(string(d))
+	i := slices.IndexFunc(candidates, func(e fleet.Member) bool { return string(e.Host) == winner })
+	return candidates[i], true
 }
 
-// RankForDuty returns the members in the order in which the duty falls to them: each
-// is the winner when those before it are gone.
+// RankForDuty returns the members in the order in which the duty falls to them: each is the holder
+// once those before it are gone.
 func RankForDuty(members []fleet.Member, d Duty) []fleet.Member {
 	rest := slices.Clone(members)
-	out := make([]fleet.Member, 0, len(members))
+	ranked := make([]fleet.Member, 0, len(members))
 	for len(rest) > 0 {
-		w, _ := DutyHolder(rest, d)
-		out = append(out, w)
-		rest = slices.DeleteFunc(rest, func(e fleet.Member) bool { return e.Host == w.Host })
+		holder, _ := DutyHolder(rest, d)
+		ranked = append(ranked, holder)
+		rest = slices.DeleteFunc(rest, func(e fleet.Member) bool { return e.Host == holder.Host })
 	}
-	return out
+	return ranked
 }
 
 // eligible returns the members that may get a duty, sorted by name.
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -9,24 +9,24 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Record is what a host says of itself, as it is written to the store and passed
-// on from host to host.
+// Record is a host's description of itself, as it is written to the store and gossiped between
+// hosts.
 type Record struct {
 	Member fleet.Member `json:"member"`
-	// Epoch is the start time of the host's process in nanoseconds, so that a
-	// later process of one host has the higher epoch.
+	// Epoch is the start time of the host's process in nanoseconds, so that a later process on the
+	// same host has a higher epoch.
 	Epoch uint64 `json:"epoch"`
-	// Heartbeat is raised by the host itself and only by it: a beat that rises proves
-	// that the host was alive, over however many hosts the news came.
+	// Heartbeat is a counter that only the host itself raises. A rise proves that the host was
+	// alive, however many hosts the record passed through.
 	Heartbeat uint64 `json:"beat"`
-	// Lease names the registration in the store under which the record stands;
-	// zero in a record that came from a peer.
+	// Lease is the store registration that the record is stored under. It is zero in a record from
+	// a peer.
 	Lease uint64 `json:"lease,omitempty"`
 }
 
-// newer reports whether r is of a later process, or a later beat, than o.
-func (r Record) newer(o Record) bool {
-	return cmp.Or(cmp.Compare(r.Epoch, o.Epoch), cmp.Compare(r.Heartbeat, o.Heartbeat)) > 0
+// newerThan reports whether r is from a later process, or has a higher heartbeat, than other.
+func (r Record) newerThan(other Record) bool {
+	return cmp.Or(cmp.Compare(r.Epoch, other.Epoch), cmp.Compare(r.Heartbeat, other.Heartbeat)) > 0
 }
 
 // PlatformMember is a host on the platform's own list, which lags behind.
@@ -35,176 +35,178 @@
 }
 
 const (
-	// suspectAfter is how long a host may be silent in the smallest fleet. It is
-	// three rounds of digests of a second each, so that two lost ones do nothing.
+	// suspectAfter is how long a host may be silent in the smallest fleet: three rounds of digests,
+	// one a second, so that the loss of two digests has no effect.
 	suspectAfter = 3 * time.Second
-	// perDoubling is added for each doubling of the fleet, as that is how many
-	// more rounds a beat needs to reach everyone.
-	perDoubling = time.Second
-	// storeFresh is how long a list of the store proves that a host is live.
-	storeFresh = 10 * time.Second
-	// forgetAfter bounds the memory of hosts that were replaced.
+	// suspectPerDoubling is added for each doubling of the fleet, as a heartbeat needs one more
+	// round then to reach all hosts.
+	suspectPerDoubling = time.Second
+	// storeListMaxAge is how long a list read from the store proves that a host is live.
+	storeListMaxAge = 10 * time.Second
+	// forgetAfter is how long a silent host is kept. It bounds the memory taken by replaced hosts.
 	forgetAfter = 10 * time.Minute
 )
 
-// known is what a roster keeps of one host.
-type known struct {
+// hostEntry is what a roster keeps about one host.
+type hostEntry struct {
 	record Record
-	// heard is when the beat last rose, stored when the store last listed it.
-	heard, stored time.Time
-	// listed is set when the platform's list has the host as leaving.
-	leaving bool
-	// bye is set once the host's own record said that it leaves.
-	bye bool
+	// heartbeatAt is when the heartbeat last rose, storedAt when the store last listed the host.
+	heartbeatAt, storedAt time.Time
+	// leavingByPlatform is set when the platform's list marks the host as leaving.
+	leavingByPlatform bool
+	// leavingByRecord is set once the host's own record has marked it as leaving.
+	leavingByRecord bool
 }
 
-// Roster merges what the store, the peers and the platform say of the hosts. The
-// zero Roster with Self set works. It is not safe for concurrent use.
+// Roster merges what the store, the peers and the platform report about the hosts. The zero Roster
+// with Self set is ready to use. It is not safe for concurrent use.
 //
-// A host is a member while its beat rises or the store lists it. So an outage of
-// the store throws no one out, a cut between two hosts throws no one out as long
-// as a third hears both, and a host that died is out once the store's lease has
-// ended and its beat has stopped. A host that leaves stays a member, marked so.
+// A host is a member while its heartbeat rises or the store lists it. So an outage of the store
+// removes no member, and neither does a network partition between two hosts as long as a third one
+// hears both. A host that died is removed once its lease in the store has ended and its heartbeat
+// has stopped. A host that is leaving stays a member and is marked as leaving.
 type Roster struct {
 	Self fleet.Host
 
-	hosts map[fleet.Host]*known
+	hosts map[fleet.Host]*hostEntry
 }
 
-// Merge takes in records that peers passed on, and reports whether any told
-// something new.
+// Merge adds records from peers, and reports whether any of them showed a new process or a changed
+// member.
 func (r *Roster) Merge(now time.Time, records []Record) bool {
 	changed := false
-	for _, e := range records {
-		k := r.hosts[e.Member.Host]
-		if k != nil && !e.newer(k.record) {
+	for _, rec := range records {
+		entry := r.hosts[rec.Member.Host]
+		if entry != nil && !rec.newerThan(entry.record) {
 			continue
 		}
-		k = r.known(e.Member.Host)
-		changed = changed || k.record.Epoch != e.Epoch || k.record.Member != e.Member
-		lease := k.record.Lease
-		if k.record.Epoch != e.Epoch {
-			lease, k.bye, k.leaving = 0, false, false
+		entry = r.entry(rec.Member.Host)
+		changed = changed || entry.record.Epoch != rec.Epoch || entry.record.Member != rec.Member
+		lease := entry.record.Lease
+		if entry.record.Epoch != rec.Epoch {
+			lease, entry.leavingByRecord, entry.leavingByPlatform = 0, false, false
 		}
-		k.bye = k.bye || e.Member.Leaving
-		k.record, k.heard = e, now
-		k.record.Lease = lease
+		entry.leavingByRecord = entry.leavingByRecord || rec.Member.Leaving
+		entry.record, entry.heartbeatAt = rec, now
+		entry.record.Lease = lease
 	}
 	return changed
 }
 
-// MergeStore takes in the whole list of the store. A record there proves a host live
-// only while its lease stands, so it doesn't count as a beat.
+// MergeStore replaces the list read from the store. A record in it proves that a host is live only
+// while its lease is valid, so it doesn't count as a heartbeat.
 func (r *Roster) MergeStore(now time.Time, records []Record) {
-	for _, k := range r.hosts {
-		k.stored = time.Time{}
+	for _, entry := range r.hosts {
+		entry.storedAt = time.Time{}
 	}
-	for _, e := range records {
-		k := r.known(e.Member.Host)
-		if e.Epoch < k.record.Epoch {
+	for _, rec := range records {
+		entry := r.entry(rec.Member.Host)
+		if rec.Epoch < entry.record.Epoch {
 			continue
 		}
-		if e.newer(k.record) {
-			k.record = e
+		if rec.newerThan(entry.record) {
+			entry.record = rec
 		}
-		k.record.Lease = e.Lease
-		k.stored = now
+		entry.record.Lease = rec.Lease
+		entry.storedAt = now
 	}
 }
 
-// MergePlatform takes in the platform's list. Because it lags, it can mark a host as
-// leaving and name hosts to ask at the start, but can't make one live.
+// MergePlatform adds the platform's list. As the list lags behind, it can mark a host as leaving,
+// and name hosts to contact at the start, but can't make a host live.
 func (r *Roster) MergePlatform(listed []PlatformMember) {
-	for _, l := range listed {
-		if k := r.hosts[l.Member.Host]; k != nil {
-			k.leaving = l.Member.Leaving
+	for _, m := range listed {
+		if entry := r.hosts[m.Member.Host]; entry != nil {
+			entry.leavingByPlatform = m.Member.Leaving
 			continue
 		}
-		r.known(l.Member.Host).record.Member = l.Member
+		r.entry(m.Member.Host).record.Member = m.Member
 	}
 }
 
-func (r *Roster) known(h fleet.Host) *known {
+func (r *Roster) entry(h fleet.Host) *hostEntry {
 	if r.hosts == nil {
-		r.hosts = map[fleet.Host]*known{}
+		r.hosts = map[fleet.Host]*hostEntry{}
 	}
-	k := r.hosts[h]
-	if k == nil {
-		k = &known{}
-		r.hosts[h] = k
+	entry := r.hosts[h]
+	if entry == nil {
+		entry = &hostEntry{}
+		r.hosts[h] = entry
 	}
-	return k
+	return entry
 }
 
-// Members returns the hosts that count as live or leaving, by name. A member
-// that has been silent for longer than news takes to come round, and that the
-// store doesn't list, is not among them, whether it died or is cut off: as far
-// as this host can tell, it does no duty.
+// Members returns the hosts that count as live or leaving, sorted by name. A host that has been
+// silent for longer than a heartbeat takes to reach all hosts, and that the store doesn't list, is
+// not among them, whether it died or is cut off: as far as this host can tell, it has no duty.
 func (r *Roster) Members(now time.Time) []fleet.Member {
-	silent := r.patience()
+	limit := r.silenceLimit()
 	var out []fleet.Member
-	for h, k := range r.hosts {
-		if h != r.Self && !k.live(now, silent) {
+	for h, entry := range r.hosts {
+		if h != r.Self && !entry.live(now, limit) {
 			continue
 		}
-		m := k.record.Member
-		m.Leaving = m.Leaving || k.leaving || k.bye
+		m := entry.record.Member
+		m.Leaving = m.Leaving || entry.leavingByPlatform || entry.leavingByRecord
 		out = append(out, m)
 	}
 	slices.SortFunc(out, func(a, b fleet.Member) int { return cmp.Compare(a.Host, b.Host) })
 	return out
 }
 
-func (k *known) live(now time.Time, silent time.Duration) bool {
-	heard := !k.heard.IsZero() && now.Sub(k.heard) < silent
-	stored := !k.stored.IsZero() && now.Sub(k.stored) < storeFresh
+func (e *hostEntry) live(now time.Time, limit time.Duration) bool {
+	heard := !e.heartbeatAt.IsZero() && now.Sub(e.heartbeatAt) < limit
+	stored := !e.storedAt.IsZero() && now.Sub(e.storedAt) < storeListMaxAge
 	return heard || stored
 }
 
-// patience is how long a host may be silent.
-func (r *Roster) patience() time.Duration {
-	return suspectAfter + perDoubling*time.Duration(bits.Len(uint(len(r.hosts))))
+// silenceLimit returns how long a host's heartbeat may fail to rise.
+func (r *Roster) silenceLimit() time.Duration {
+	return suspectAfter + suspectPerDoubling*time.Duration(bits.Len(uint(len(r.hosts))))
 }
 
-// Silent returns the known hosts that are no members, by name: peers to try when
-// all others are gone.
+// Silent returns the known hosts that are not members, sorted by name. They are the peers to try
+// when no member can be reached.
 func (r *Roster) Silent(now time.Time) []fleet.Member {
 	var out []fleet.Member
-	for h, k := range r.hosts {
-		if h != r.Self && !k.live(now, r.patience()) {
-			out = append(out, k.record.Member)
+	for h, entry := range r.hosts {
+		if h != r.Self && !entry.live(now, r.silenceLimit()) {
+			out = append(out, entry.record.Member)
 		}
 	}
 	slices.SortFunc(out, func(a, b fleet.Member) int { return cmp.Compare(a.Host, b.Host) })
 	return out
 }
 
-// Forget drops the hosts that nothing was heard of for long.
+// Forget drops the hosts that are not live and whose heartbeat last rose longer than forgetAfter
+// ago.
 func (r *Roster) Forget(now time.Time) {
-	for h, k := range r.hosts {
-		if h != r.Self && now.Sub(k.heard) > forgetAfter && !k.live(now, r.patience()) && !k.heard.IsZero() {
+	for h, entry := range r.hosts {
+		if h != r.Self && now.Sub(entry.heartbeatAt) > forgetAfter && !entry.live(now, r.silenceLimit()) &&
+			!entry.heartbeatAt.IsZero() {
 			delete(r.hosts, h)
 		}
 	}
 }
 
-// Records returns what this host knows, for the digests it sends, by name.
+// Records returns the records of this host and of all live hosts, sorted by name, for the digests
+// that this host sends.
 func (r *Roster) Records(now time.Time) []Record {
 	var out []Record
-	for h, k := range r.hosts {
-		if h == r.Self || k.live(now, r.patience()) {
-			out = append(out, k.record)
+	for h, entry := range r.hosts {
+		if h == r.Self || entry.live(now, r.silenceLimit()) {
+			out = append(out, entry.record)
 		}
 	}
 	slices.SortFunc(out, func(a, b Record) int { return cmp.Compare(a.Member.Host, b.Member.Host) })
 	return out
 }
 
-// Record returns what is known of a host.
+// Record returns the last record of a host.
 func (r *Roster) Record(h fleet.Host) (Record, bool) {
-	k := r.hosts[h]
-	if k == nil {
+	entry := r.hosts[h]
+	if entry == nil {
 		return Record{}, false
 	}
-	return k.record, true
+	return entry.record, true
 }
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -14,7 +14,7 @@
 	"skylarkdeal/core/roster"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict.
+// TestMain fixes the seed, so that each run gives the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "7")
@@ -28,8 +28,8 @@
 	return fleet.Member{Host: fleet.Host(fmt.Sprintf("h%d", n)), DataCentre: "riga-1"}
 }
 
-func record(n int, epoch, beat uint64) roster.Record {
-	return roster.Record{Member: member(n), Epoch: epoch, Heartbeat: beat}
+func record(n int, epoch, heartbeat uint64) roster.Record {
+	return roster.Record{Member: member(n), Epoch: epoch, Heartbeat: heartbeat}
 }
 
 func ExampleDutyHolder() {
@@ -43,8 +43,8 @@
 	// Output: true
 }
 
-// Two hosts whose rosters differ by one host must agree on nearly every duty,
-// or each change of the roster would move all homes at once.
+// Guards against a change of the roster that moves all duties at once: two hosts whose rosters
+// differ by one host must agree on nearly every duty.
 func TestDutiesMoveOnlyWithTheirHost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "hosts")
@@ -56,55 +56,55 @@
 				rest = append(rest, member(i))
 			}
 		}
-		turned := append(append([]fleet.Member{}, all[1:]...), all[0])
+		rotated := append(append([]fleet.Member{}, all[1:]...), all[0])
 		for s := range roster.Shards {
 			d := roster.Home("riga-1", roster.Shard(s))
-			was, _ := roster.DutyHolder(all, d)
-			now, _ := roster.DutyHolder(rest, d)
-			if w, _ := roster.DutyHolder(turned, d); w != was {
-				t.Fatalf("the order of the members matters: %v, %v", w, was)
+			before, _ := roster.DutyHolder(all, d)
+			after, _ := roster.DutyHolder(rest, d)
+			if holder, _ := roster.DutyHolder(rotated, d); holder != before {
+				t.Fatalf("the order of the members matters: %v, %v", holder, before)
 			}
-			if was != member(gone) && now != was {
-				t.Fatalf("duty moved from %v to %v as %v went", was, now, member(gone))
+			if before != member(gone) && after != before {
+				t.Fatalf("duty moved from %v to %v as %v left", before, after, member(gone))
 			}
 			ranked := roster.RankForDuty(all, d)
-			if ranked[0] != was || was == member(gone) && ranked[1] != now {
-				t.Fatalf("ranked %v", ranked)
+			if ranked[0] != before || before == member(gone) && ranked[1] != after {
+				t.Fatalf("wrong order: %v", ranked)
 			}
 		}
 	})
 }
 
 func TestHomesSpreadEvenly(t *testing.T) {
-	var m []fleet.Member
+	var members []fleet.Member
 	count := map[fleet.Host]int{}
 	for i := range 4 {
-		m = append(m, member(i))
+		members = append(members, member(i))
 	}
 	for s := range 100 * roster.Shards {
-		w, _ := roster.DutyHolder(m, roster.Home("riga-1", roster.Shard(s)))
-		count[w.Host]++
+		holder, _ := roster.DutyHolder(members, roster.Home("riga-1", roster.Shard(s)))
+		count[holder.Host]++
 	}
 	for h, n := range count {
 		qt.Check(t, n > 600 && n < 1000, qt.IsTrue, qt.Commentf("%s has %d of 3200", h, n))
 	}
 }
 
-// The store is down for ten minutes. Hosts that peers hear of stay members, and
-// one that dies meanwhile is noticed by its silence.
-func TestStoreOutageThrowsNoOneOut(t *testing.T) {
+// The store is down for ten minutes. Hosts whose heartbeats arrive stay members, and one that dies
+// in the meantime is noticed by its silence.
+func TestStoreOutageRemovesNoMember(t *testing.T) {
 	c := qt.New(t)
 	r := roster.Roster{Self: "h1"}
 	r.MergeStore(epoch, []roster.Record{record(1, 1, 1), record(2, 1, 1), record(3, 1, 1)})
 	now := epoch
-	for beat := uint64(2); beat < 600; beat++ {
+	for heartbeat := uint64(2); heartbeat < 600; heartbeat++ {
 		now = now.Add(time.Second)
-		heard := []roster.Record{record(1, 1, beat), record(2, 1, beat)}
-		if beat < 300 {
-			heard = append(heard, record(3, 1, beat))
+		heard := []roster.Record{record(1, 1, heartbeat), record(2, 1, heartbeat)}
+		if heartbeat < 300 {
+			heard = append(heard, record(3, 1, heartbeat))
 		}
 		r.Merge(now, heard)
-		if beat == 299 {
+		if heartbeat == 299 {
 			c.Assert(r.Members(now), qt.DeepEquals, []fleet.Member{member(1), member(2), member(3)})
 		}
 	}
@@ -112,8 +112,8 @@
 	c.Assert(r.Silent(now), qt.DeepEquals, []fleet.Member{member(3)})
 }
 
-// A cut parts this host from another one, which the store still lists.
-func TestListedHostStaysThroughACut(t *testing.T) {
+// This host is cut off from another one, which the store still lists.
+func TestListedHostStaysMemberThroughAPartition(t *testing.T) {
 	c := qt.New(t)
 	r := roster.Roster{Self: "h1"}
 	now := epoch
@@ -126,24 +126,24 @@
 	c.Assert(r.Members(now), qt.DeepEquals, []fleet.Member{member(1)}, qt.Commentf("its lease has ended"))
 }
 
-// A host has died, and digests still pass its last record round. Only a beat that
-// rises is news, else the dead would be kept alive by hearsay.
-func TestHearsayKeepsNoOneAlive(t *testing.T) {
+// A host has died, and digests still repeat its last record. Only a rising heartbeat counts, or
+// repeated records would keep dead hosts members.
+func TestRepeatedHeartbeatKeepsNoHostAlive(t *testing.T) {
 	c := qt.New(t)
 	r := roster.Roster{Self: "h1"}
 	now := epoch
 	r.Merge(now, []roster.Record{record(1, 1, 1), record(2, 1, 50)})
-	for beat := uint64(2); beat < 20; beat++ {
+	for heartbeat := uint64(2); heartbeat < 20; heartbeat++ {
 		now = now.Add(time.Second)
-		r.Merge(now, []roster.Record{record(1, 1, beat), record(2, 1, 50), record(2, 1, 49)})
+		r.Merge(now, []roster.Record{record(1, 1, heartbeat), record(2, 1, 50), record(2, 1, 49)})
 	}
 	c.Assert(r.Members(now), qt.DeepEquals, []fleet.Member{member(1)})
 	r.Merge(now, []roster.Record{record(2, 2, 1)})
 	c.Assert(r.Members(now), qt.DeepEquals, []fleet.Member{member(1), member(2)}, qt.Commentf("it has restarted"))
 }
 
-// The platform's list lags: it still names a host that is long gone, and marks
-// one as leaving whose successor has started.
+// The platform's list lags: it still names a host that has been gone for long, and marks one as
+// leaving whose successor has started.
 func TestPlatformListLags(t *testing.T) {
 	c := qt.New(t)
 	r := roster.Roster{Self: "h1"}
@@ -152,13 +152,13 @@
 	r.Merge(epoch, []roster.Record{record(1, 1, 1), record(2, 1, 1)})
 	r.MergePlatform([]roster.PlatformMember{{Member: leaving}, {Member: member(9)}})
 	c.Assert(r.Members(epoch), qt.DeepEquals, []fleet.Member{member(1), leaving})
-	c.Assert(r.Silent(epoch), qt.DeepEquals, []fleet.Member{member(9)}, qt.Commentf("may be asked, isn't live"))
+	c.Assert(r.Silent(epoch), qt.DeepEquals, []fleet.Member{member(9)}, qt.Commentf("may be contacted, isn't live"))
 	r.Merge(epoch, []roster.Record{record(2, 2, 1)})
 	c.Assert(r.Members(epoch), qt.DeepEquals, []fleet.Member{member(1), member(2)})
 }
 
-// A host is paused for longer than its lease and wakes. It must see that the lease
-// has ended before it acts, and by a renewal counted from when it was sent.
+// A host is suspended for longer than its lease and wakes. It must see that the lease has ended
+// before it acts, counted from when the last renewal was sent.
 func TestLeaseEndsByTheHostsOwnClock(t *testing.T) {
 	c := qt.New(t)
 	var l roster.Lease
@@ -167,5 +167,5 @@
 	c.Assert(l.Valid(epoch.Add(roster.LeaseFor*8/10)), qt.IsTrue)
 	c.Assert(l.Valid(epoch.Add(roster.LeaseFor*9/10)), qt.IsFalse, qt.Commentf("the margin for a slow clock"))
 	l.Renewed(epoch.Add(-time.Second))
-	c.Assert(l.Valid(epoch.Add(roster.LeaseFor*8/10)), qt.IsTrue, qt.Commentf("a late answer takes nothing away"))
+	c.Assert(l.Valid(epoch.Add(roster.LeaseFor*8/10)), qt.IsTrue, qt.Commentf("a late response doesn't shorten it"))
 }
