--- a/core/mesh/mesh.go
+++ b/core/mesh/mesh.go
@@ -1,10 +1,12 @@
-// Package mesh decides over which hosts the reports of a fleet travel.
+// Package mesh decides which hosts of a fleet send their reports to which, and which hosts forward
+// them.
 //
-// In a small fleet each host tells all others. In a large one it tells in each other data
-// centre two hosts, the doors, which pass on what they hear to the hosts beside them, many
-// reports at a time; in a large data centre its own doors in place of all hosts. The datagrams
-// that a host sends then don't grow with the fleet, and those that it hears grow with a
-// fraction of it. The price is one more pause on the way.
+// In a small fleet each host reports to all others. In a large fleet it reports to two hosts of
+// each other data centre, the gossip relays, which forward what they receive to the hosts of their
+// data centre, many reports in one datagram. In a large data centre a host reports only to the
+// relays of its own data centre as well. The number of datagrams that a host sends then doesn't
+// grow with the fleet, and the number that it receives grows with a fraction of it. The cost is the
+// delay of one more forwarding interval.
 package mesh
 
 import (
@@ -19,148 +21,155 @@
 )
 
 const (
-	// fullUpTo is how many hosts tell each other directly: that is 80 datagrams a second for
-	// each, as many as a host of a large fleet hears from its own data centre.
-	fullUpTo = 16
-	// besideUpTo is up to how many hosts of a data centre tell each other directly: each then
-	// sends and hears 80 datagrams a second.
-	besideUpTo = 32
-	// doors is how many hosts of a data centre hear from the others, so that the death of one
-	// holds up no report.
-	doors = 2
-	// secondHold is how long the second door waits for the first: two of its datagrams.
-	secondHold = 350 * time.Millisecond
+	// maxFullMeshHosts is the largest fleet in which each host reports to all others. It means 80
+	// datagrams a second for each host, as many as a host of a large fleet receives from its own
+	// data centre.
+	maxFullMeshHosts = 16
+	// maxLocalMeshHosts is the largest number of hosts in a data centre that report directly to
+	// each other. Each then sends and receives 80 datagrams a second.
+	maxLocalMeshHosts = 32
+	// relaysPerDataCentre is how many hosts of a data centre receive the reports of the others.
+	// There are two, so that the death of one delays no report.
+	relaysPerDataCentre = 2
+	// secondRelayDelay is how long the second relay waits for the first: two datagrams of the
+	// first.
+	secondRelayDelay = 350 * time.Millisecond
 )
 
-// UsesRelays reports whether a fleet of n hosts uses doors.
-func UsesRelays(n int) bool { return n > fullUpTo }
+// UsesRelays reports whether a fleet of n hosts uses gossip relays.
+func UsesRelays(n int) bool { return n > maxFullMeshHosts }
 
-// Intervals is how often the hosts of a fleet report, and what follows from it.
+// Intervals are the times that govern the reports of a fleet.
 type Intervals struct {
-	// Report is the time between two reports of a host, Forward that between two datagrams of
-	// a door.
+	// Report is the interval between two reports of a host, Forward the interval between two
+	// datagrams of a relay.
 	Report, Forward time.Duration
-	// HeardWithin is how old the last report of a host may be for it to count as heard: three in a
-	// row were lost otherwise.
+	// HeardWithin is the largest age of a host's last report at which the host counts as heard. At
+	// a larger age three reports in a row were lost.
 	HeardWithin time.Duration
 }
 
-// The paces of small and of large fleets. What hosts admit to an account without knowing of
-// each other has to fit into half of its burst, a second of its rate as a rule; a large
-// fleet reports half as often, which halves the work of listening on its small hosts.
+// The intervals of small and of large fleets. What hosts admit for an account before they learn of
+// each other's usage has to fit into half of the account's burst, which is usually a second of its
+// rate. A large fleet reports half as often, which halves the load of incoming reports on its small
+// hosts.
 var (
-	smallPace = Intervals{Report: 200 * time.Millisecond, HeardWithin: 700 * time.Millisecond}
-	largePace = Intervals{Report: 400 * time.Millisecond, Forward: 150 * time.Millisecond, HeardWithin: 1400 * time.Millisecond}
+	smallFleetIntervals = Intervals{Report: 200 * time.Millisecond, HeardWithin: 700 * time.Millisecond}
+	largeFleetIntervals = Intervals{
+		Report: 400 * time.Millisecond, Forward: 150 * time.Millisecond, HeardWithin: 1400 * time.Millisecond,
+	}
 )
 
-// IntervalsFor returns the pace of a fleet of n hosts.
+// IntervalsFor returns the intervals of a fleet of n hosts.
 func IntervalsFor(n int) Intervals {
 	if UsesRelays(n) {
-		return largePace
+		return largeFleetIntervals
 	}
-	return smallPace
+	return smallFleetIntervals
 }
 
-// Peer is another host.
+// Peer is another host of the fleet.
 type Peer struct {
 	Host       fleet.Host
 	DataCentre fleet.DataCentre
-	// Heard is set while its reports come.
+	// Heard is set while the host's reports arrive.
 	Heard bool
-	// Leaving is set once it has told that it shuts down.
+	// Leaving is set once the host has reported that it is shutting down.
 	Leaving bool
-	// Capacity is what it can carry.
+	// Capacity is the load that the host can carry.
 	Capacity fleet.Capacity
 }
 
-// Recipients returns the hosts that a host tells of itself.
+// Recipients returns the hosts to which a host sends its own reports.
 func Recipients(self Peer, others []Peer) []fleet.Host {
 	if !UsesRelays(1 + len(others)) {
-		return names(others)
+		return hostNames(others)
 	}
 	centres := map[fleet.DataCentre][]Peer{}
-	for _, m := range others {
-		centres[m.DataCentre] = append(centres[m.DataCentre], m)
+	for _, peer := range others {
+		centres[peer.DataCentre] = append(centres[peer.DataCentre], peer)
 	}
-	near := centres[self.DataCentre]
+	local := centres[self.DataCentre]
 	delete(centres, self.DataCentre)
-	out := names(near)
-	if crowded(1 + len(near)) {
-		out = doorsOf(self.DataCentre, near)
+	out := hostNames(local)
+	if usesLocalRelays(1 + len(local)) {
+		out = relaysOf(self.DataCentre, local)
 	}
-	for dc, ms := range centres {
-		out = append(out, doorsOf(dc, ms)...)
+	for dc, remote := range centres {
+		out = append(out, relaysOf(dc, remote)...)
 	}
 	return out
 }
 
-func names(ms []Peer) []fleet.Host {
-	out := make([]fleet.Host, 0, len(ms))
-	for _, m := range ms {
-		out = append(out, m.Host)
+func hostNames(peers []Peer) []fleet.Host {
+	out := make([]fleet.Host, 0, len(peers))
+	for _, peer := range peers {
+		out = append(out, peer.Host)
 	}
 	return out
 }
 
-// crowded reports whether the n hosts of a data centre report over its doors.
-func crowded(n int) bool { return n > besideUpTo }
+// usesLocalRelays reports whether n hosts of a data centre report to each other through relays.
+func usesLocalRelays(n int) bool { return n > maxLocalMeshHosts }
 
-// ForwardsFrom reports whether a host passes on what it has heard directly from a host of some data
-// centre.
+// ForwardsFrom reports whether a host forwards the reports that it receives directly from hosts of
+// data centre from.
 func ForwardsFrom(self Peer, from fleet.DataCentre, others []Peer) bool {
 	if !UsesRelays(1 + len(others)) {
 		return false
 	}
-	return from != self.DataCentre || crowded(1+len(LocalRecipients(self.DataCentre, others)))
+	return from != self.DataCentre || usesLocalRelays(1+len(LocalRecipients(self.DataCentre, others)))
 }
 
-// LocalRecipients returns the hosts to which a door passes on what it hears from elsewhere.
-func LocalRecipients(own fleet.DataCentre, others []Peer) []fleet.Host {
+// LocalRecipients returns the hosts to which a relay of data centre dc forwards reports.
+func LocalRecipients(dc fleet.DataCentre, others []Peer) []fleet.Host {
 	var out []fleet.Host
-	for _, m := range others {
-		if m.DataCentre == own {
-			out = append(out, m.Host)
+	for _, peer := range others {
+		if peer.DataCentre == dc {
+			out = append(out, peer.Host)
 		}
 	}
 	return out
 }
 
-// ForwardDelay returns how long a host keeps what it has heard from elsewhere before it passes it on.
+// ForwardDelay returns how long a host keeps the reports that it has received directly before it
+// forwards them.
 //
-// The first door passes on at its pace. The other one gives it the time to do so, and then
-// passes on only what the first one hasn't: with both at work at once the links of small
+// The first relay forwards at the usual interval. The second one gives the first the time to do so,
+// and then forwards only what the first one hasn't. With both forwarding at once the links of small
 // hosts, 10 Mbit/s, were full, and a third of the reports were lost.
 func ForwardDelay(self Peer, others []Peer) time.Duration {
 	self.Heard = true
-	beside := []Peer{self}
-	for _, m := range others {
-		if m.DataCentre == self.DataCentre {
-			beside = append(beside, m)
+	local := []Peer{self}
+	for _, peer := range others {
+		if peer.DataCentre == self.DataCentre {
+			local = append(local, peer)
 		}
 	}
-	if doorsOf(self.DataCentre, beside)[0] == self.Host {
-		return largePace.Forward
+	if relaysOf(self.DataCentre, local)[0] == self.Host {
+		return largeFleetIntervals.Forward
 	}
-	return secondHold
+	return secondRelayDelay
 }
 
-// doorsOf returns the doors of a data centre, chosen alike by all hosts that hear the same
-// ones: of those that are heard and stay, the strongest, and then the first by their hash. If
-// too few are heard the others are tried, as when the fleet starts or a cut has ended.
+// relaysOf returns the gossip relays of a data centre. All hosts that hear the same hosts choose
+// the same relays: of the hosts that are heard and aren't leaving, those with the highest capacity,
+// and among equal ones those with the highest hash. If too few are heard, the other hosts are used
+// as well, as when the fleet starts or a network partition has ended.
 //
-// The strongest, as a door sends each host of its data centre what it hears of the whole fleet,
-// which fills the link of a small host of a fleet of hundreds.
+// Capacity counts because a relay sends each host of its data centre the reports of the whole
+// fleet, which fills the link of a small host in a fleet of hundreds.
 //
-// The guard on those that leave is for hosts that are restarted in turn: both doors were among
-// them at once, and a whole data centre heard nobody else for two seconds.
-func doorsOf(dc fleet.DataCentre, ms []Peer) []fleet.Host {
+// Leaving hosts are avoided because of rolling restarts: when both relays were restarted at the same
+// time, a whole data centre heard no host of another one for two seconds.
+func relaysOf(dc fleet.DataCentre, peers []Peer) []fleet.Host {
 	rank := func(h fleet.Host) uint64 { return xxhash.Sum64String(string(dc) + "/" + string(h)) }
-	slices.SortFunc(ms, func(a, b Peer) int {
-		stays, other := a.Heard && !a.Leaving, b.Heard && !b.Leaving
+	slices.SortFunc(peers, func(a, b Peer) int {
+		aAvailable, bAvailable := a.Heard && !a.Leaving, b.Heard && !b.Leaving
 		switch ra, rb := rank(a.Host), rank(b.Host); {
-		case stays != other && stays:
+		case aAvailable != bAvailable && aAvailable:
 			return -1
-		case stays != other:
+		case aAvailable != bAvailable:
 			return 1
 		case a.Capacity != b.Capacity:
 			return cmp.Compare(b.Capacity, a.Capacity)
@@ -171,9 +180,9 @@
 		}
 		return strings.Compare(string(a.Host), string(b.Host))
 	})
-	out := make([]fleet.Host, 0, doors)
-	for _, m := range ms[:min(doors, len(ms))] {
-		out = append(out, m.Host)
+	out := make([]fleet.Host, 0, relaysPerDataCentre)
+	for _, peer := range peers[:min(relaysPerDataCentre, len(peers))] {
+		out = append(out, peer.Host)
 	}
 	return out
 }
--- a/core/mesh/mesh_test.go
+++ b/core/mesh/mesh_test.go
@@ -11,8 +11,8 @@
 	"skylarkdeal/core/mesh"
 )
 
-// members returns n hosts, evenly over three data centres, all of which are heard.
-func members(n int) []mesh.Peer {
+// newPeers returns n hosts, spread evenly over three data centres. All of them are heard.
+func newPeers(n int) []mesh.Peer {
 	out := make([]mesh.Peer, n)
 	for i := range out {
 		out[i] = mesh.Peer{
@@ -24,9 +24,9 @@
 	return out
 }
 
-// others returns all but one.
-func others(ms []mesh.Peer, n int) []mesh.Peer {
-	return append(slices.Clone(ms[:n]), ms[n+1:]...)
+// others returns all peers but the one at index n.
+func others(peers []mesh.Peer, n int) []mesh.Peer {
+	return append(slices.Clone(peers[:n]), peers[n+1:]...)
 }
 
 func ExampleRecipients() {
@@ -35,59 +35,59 @@
 	// Output: [h2 h3]
 }
 
-// What a host sends to other data centres doesn't grow with the fleet, and yet each report
-// reaches all hosts: directly, or over a door.
+// Guards against hosts that a report doesn't reach, directly or through a relay, and against
+// reports to other data centres that grow with the fleet.
 func TestReportsReachAllHosts(t *testing.T) {
 	c := qt.New(t)
 	for _, n := range []int{2, 8, 16, 17, 80, 300} {
-		ms := members(n)
-		for from := range ms {
-			direct := mesh.Recipients(ms[from], others(ms, from))
+		peers := newPeers(n)
+		for from := range peers {
+			direct := mesh.Recipients(peers[from], others(peers, from))
 			reached := fleet.NewSet(direct...)
-			far := 0
+			remote := 0
 			for _, h := range direct {
-				at := slices.IndexFunc(ms, func(m mesh.Peer) bool { return m.Host == h })
-				if ms[at].DataCentre != ms[from].DataCentre {
-					far++
+				at := slices.IndexFunc(peers, func(p mesh.Peer) bool { return p.Host == h })
+				if peers[at].DataCentre != peers[from].DataCentre {
+					remote++
 				}
-				if !mesh.ForwardsFrom(ms[at], ms[from].DataCentre, others(ms, at)) {
+				if !mesh.ForwardsFrom(peers[at], peers[from].DataCentre, others(peers, at)) {
 					continue
 				}
-				for _, b := range mesh.LocalRecipients(ms[at].DataCentre, others(ms, at)) {
-					reached.Add(b)
+				for _, local := range mesh.LocalRecipients(peers[at].DataCentre, others(peers, at)) {
+					reached.Add(local)
 				}
 			}
-			reached.Add(ms[from].Host)
-			c.Assert(len(reached), qt.Equals, n, qt.Commentf("%d hosts, from %s", n, ms[from].Host))
+			reached.Add(peers[from].Host)
+			c.Assert(len(reached), qt.Equals, n, qt.Commentf("%d hosts, from %s", n, peers[from].Host))
 			if mesh.UsesRelays(n) {
-				c.Assert(far, qt.Equals, 4)
+				c.Assert(remote, qt.Equals, 4)
 			}
 		}
 	}
 }
 
-// A door dies, or is about to end. Once it isn't heard, or has told so, another takes its
-// place, and the other one stays.
-func TestDeadDoorIsReplaced(t *testing.T) {
+// Guards against reports lost at a relay that has died or is leaving. Another host must replace it,
+// and the other relays stay.
+func TestDeadRelayIsReplaced(t *testing.T) {
 	c := qt.New(t)
-	for _, end := range []func(m *mesh.Peer){
-		func(m *mesh.Peer) { m.Heard = false },
-		func(m *mesh.Peer) { m.Leaving = true },
+	for _, end := range []func(p *mesh.Peer){
+		func(p *mesh.Peer) { p.Heard = false },
+		func(p *mesh.Peer) { p.Leaving = true },
 	} {
-		testReplaced(c, end)
+		checkRelayReplaced(c, end)
 	}
 }
 
-func testReplaced(c *qt.C, end func(m *mesh.Peer)) {
-	ms := members(60)
-	before := mesh.Recipients(ms[0], others(ms, 0))
+func checkRelayReplaced(c *qt.C, end func(p *mesh.Peer)) {
+	peers := newPeers(60)
+	before := mesh.Recipients(peers[0], others(peers, 0))
 	dead := before[len(before)-1]
-	for n := range ms {
-		if ms[n].Host == dead {
-			end(&ms[n])
+	for n := range peers {
+		if peers[n].Host == dead {
+			end(&peers[n])
 		}
 	}
-	after := mesh.Recipients(ms[0], others(ms, 0))
+	after := mesh.Recipients(peers[0], others(peers, 0))
 	c.Assert(after, qt.HasLen, len(before))
 	c.Assert(slices.Contains(after, dead), qt.IsFalse)
 	same := 0
@@ -99,67 +99,68 @@
 	c.Assert(same, qt.Equals, len(before)-1)
 }
 
-// Nobody of another data centre is heard, as after a start or a cut. Two of it are tried.
+// No host of the other data centres is heard, as after a start or a network partition. Two hosts of
+// each are tried.
 func TestUnheardDataCentreIsTried(t *testing.T) {
 	c := qt.New(t)
-	ms := members(60)
-	for n := range ms {
-		ms[n].Heard = ms[n].DataCentre == "dc0"
+	peers := newPeers(60)
+	for n := range peers {
+		peers[n].Heard = peers[n].DataCentre == "dc0"
 	}
-	c.Assert(mesh.Recipients(ms[0], others(ms, 0)), qt.HasLen, 19+4)
+	c.Assert(mesh.Recipients(peers[0], others(peers, 0)), qt.HasLen, 19+4)
 }
 
-// Of the hosts of a data centre one passes on at once what it hears, and the others wait for it;
-// when it has died, another one does.
-func TestOneDoorPassesOnAtOnce(t *testing.T) {
+// Guards against two hosts of a data centre that forward the same reports. One forwards without
+// waiting, and the others wait for it; when it has died, another host takes over.
+func TestOnlyOneRelayForwardsWithoutWaiting(t *testing.T) {
 	c := qt.New(t)
-	ms := members(60)
-	first := func() []fleet.Host {
+	peers := newPeers(60)
+	forwarders := func() []fleet.Host {
 		var out []fleet.Host
-		for n, m := range ms {
-			if m.Heard && m.DataCentre == "dc1" && mesh.ForwardDelay(m, others(ms, n)) == mesh.IntervalsFor(len(ms)).Forward {
-				out = append(out, m.Host)
+		for n, p := range peers {
+			if p.Heard && p.DataCentre == "dc1" &&
+				mesh.ForwardDelay(p, others(peers, n)) == mesh.IntervalsFor(len(peers)).Forward {
+				out = append(out, p.Host)
 			}
 		}
 		return out
 	}
-	before := first()
+	before := forwarders()
 	c.Assert(before, qt.HasLen, 1)
-	for n := range ms {
-		ms[n].Heard = ms[n].Host != before[0]
+	for n := range peers {
+		peers[n].Heard = peers[n].Host != before[0]
 	}
-	after := first()
+	after := forwarders()
 	c.Assert(after, qt.HasLen, 1)
 	c.Assert(after[0], qt.Not(qt.Equals), before[0])
 }
 
-// Guards against a host whose reports take its processor and its link, the more the larger the
-// fleet is.
+// Guards against reports that load a host's processor and link the more, the larger the fleet is.
 func TestDatagramsOfAHostDoNotGrowWithTheFleet(t *testing.T) {
 	c := qt.New(t)
 	for _, n := range []int{30, 100, 300, 920} {
-		ms := members(n)
-		for h := range ms {
-			to := mesh.Recipients(ms[h], others(ms, h))
-			// Six are the doors of three data centres; a small data centre has no need of its own.
+		peers := newPeers(n)
+		for h := range peers {
+			to := mesh.Recipients(peers[h], others(peers, h))
+			// Three data centres have six relays. A small data centre doesn't use its own.
 			c.Assert(len(to) <= max(6, n/3+4) && len(to) <= 36, qt.IsTrue, qt.Commentf("%d of %d", len(to), n))
 		}
 	}
 }
 
-// Guards against a door that is a small host: what a door passes on fills its link.
-func TestStrongHostsAreDoors(t *testing.T) {
+// Guards against small hosts as relays: what a relay forwards would fill their links.
+func TestRelaysAreTheStrongestHosts(t *testing.T) {
 	c := qt.New(t)
-	ms := members(300)
-	for n := range ms {
-		ms[n].Capacity = 0.2
+	peers := newPeers(300)
+	for n := range peers {
+		peers[n].Capacity = 0.2
 	}
 	strong := fleet.NewSet[fleet.Host]()
 	for n := range 9 {
-		ms[100+n].Capacity = 0.8
-		strong.Add(ms[100+n].Host)
+		peers[100+n].Capacity = 0.8
+		strong.Add(peers[100+n].Host)
 	}
-	to := mesh.Recipients(ms[0], others(ms, 0))
+	to := mesh.Recipients(peers[0], others(peers, 0))
 	c.Assert(to, qt.HasLen, 6)
 	for _, h := range to {
 		c.Check(strong.Has(h), qt.IsTrue, qt.Commentf("%s", h))
--- a/core/mesh/silence.go
+++ b/core/mesh/silence.go
@@ -3,27 +3,29 @@
 import "time"
 
 const (
-	// askAfter is how long nothing may come from a data centre before its hosts are asked: two of its
-	// reports, with what they wait at a door.
-	askAfter = 250 * time.Millisecond
-	// silentAfter is how long it may be silent, although it was asked, before it counts as cut off.
+	// probeAfter is how long nothing may arrive from a data centre before its hosts are probed: the
+	// time of two of its reports, including their delay at a relay.
+	probeAfter = 250 * time.Millisecond
+	// silentAfter is how long a data centre may be silent, although it was probed, before it counts
+	// as cut off.
 	silentAfter = 500 * time.Millisecond
-	// leastHosts is how many hosts of a data centre have to be known for its silence to tell: one or
-	// two may stand still.
-	leastHosts = 3
+	// minHosts is how many hosts of a data centre must be known for its silence to count: one or
+	// two hosts may have stalled.
+	minHosts = 3
 )
 
-// NeedsProbe reports whether the hosts of a data centre are to be asked for a sign, as nothing has come from
-// any of them for some time.
-func NeedsProbe(silent time.Duration) bool { return silent > askAfter }
+// NeedsProbe reports whether the hosts of a data centre have to be probed, because nothing has
+// arrived from any of them for silent.
+func NeedsProbe(silent time.Duration) bool { return silent > probeAfter }
 
-// DataCentreSilent reports whether a data centre counts as cut off: nothing has come from any of its hosts for
-// some time, neither a report nor an answer over a link.
+// DataCentreSilent reports whether a data centre counts as cut off. hosts is how many of its hosts
+// are known, silent for how long neither a report nor a response on a connection has arrived from
+// any of them.
 //
-// The load it is made for: a data centre that is cut off while the others hear it over doors, at a
-// pace at which the loss of a single host shows after seconds. Statements that were sent there wait
-// for their time limit until then, and nobody looks for another primary. A whole data centre that
-// says nothing is no host that is slow.
+// Designed for a data centre that is cut off in a large fleet. Its reports pass through gossip
+// relays, at intervals at which the loss of a single host is noticed only after seconds. Until
+// then, statements sent there wait for their timeout, and no host looks for another primary. The
+// silence of a whole data centre can't be due to a slow host.
 func DataCentreSilent(hosts int, silent time.Duration) bool {
-	return hosts >= leastHosts && silent > silentAfter
+	return hosts >= minHosts && silent > silentAfter
 }
