--- a/core/staleness/staleness.go
+++ b/core/staleness/staleness.go
@@ -1,5 +1,5 @@
-// Package staleness tells which point of a group's log a read has to cover to be no older
-// than its caller accepts.
+// Package staleness keeps samples of a group's log position. They tell which position a replica has
+// to cover for a read to be no older than its caller accepts.
 package staleness
 
 import (
@@ -8,50 +8,52 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Sample is a point that the primary has given, asked for at a moment: it covers every
-// commit that was acknowledged before that.
+// Sample is a log position reported by the primary. It covers every commit that was acknowledged
+// before AskedAt, when the primary was asked for it.
 type Sample struct {
 	Position fleet.LogPosition
 	AskedAt  time.Time
-	// PrimaryTerm is the term in which the primary led that gave it. The point may be of an earlier
-	// one, as a promotion writes no entry.
+	// PrimaryTerm is the term of the primary that reported the position. The position may be of an
+	// earlier term, as a promotion writes no log entry.
 	PrimaryTerm fleet.Term
 }
 
 // Samples are the last samples of one group. The zero Samples is empty.
 type Samples struct {
-	// ring is in the order of the moments of asking.
-	ring []Sample
+	// samples is in the order of AskedAt.
+	samples []Sample
 }
 
 const (
-	// keep bounds the samples, and spacing is the least time between two: together they
-	// reach back 4 s, longer than callers accept old reads on the platform (2.5 s).
-	keep    = 100
-	spacing = 40 * time.Millisecond
+	// maxSamples bounds the number of samples, and minSpacing is the shortest time between two of
+	// them. Together they reach back 4 s, longer than the oldest reads that callers accept on the
+	// platform (2.5 s).
+	maxSamples = 100
+	minSpacing = 40 * time.Millisecond
 )
 
-// Add takes in a sample. One that is hardly newer than the last takes its place.
-func (s *Samples) Add(n Sample) {
-	if len(s.ring) > 0 && !n.AskedAt.After(s.ring[len(s.ring)-1].AskedAt) {
+// Add adds a sample. A sample that was not asked for after the last one is ignored. A sample that
+// was asked for less than minSpacing after the last but one replaces the last one.
+func (s *Samples) Add(sample Sample) {
+	if len(s.samples) > 0 && !sample.AskedAt.After(s.samples[len(s.samples)-1].AskedAt) {
 		return
 	}
-	if len(s.ring) > 1 && n.AskedAt.Sub(s.ring[len(s.ring)-2].AskedAt) < spacing {
-		s.ring[len(s.ring)-1] = n
+	if len(s.samples) > 1 && sample.AskedAt.Sub(s.samples[len(s.samples)-2].AskedAt) < minSpacing {
+		s.samples[len(s.samples)-1] = sample
 		return
 	}
-	if len(s.ring) >= keep {
-		s.ring = append(s.ring[:0], s.ring[1:]...)
+	if len(s.samples) >= maxSamples {
+		s.samples = append(s.samples[:0], s.samples[1:]...)
 	}
-	s.ring = append(s.ring, n)
+	s.samples = append(s.samples, sample)
 }
 
-// Oldest returns the oldest sample that was asked for no earlier than since: the one
-// that a lagging replica is likeliest to cover.
+// Oldest returns the oldest sample that was asked for no earlier than since. It is the one that a
+// lagging replica is most likely to cover.
 func (s *Samples) Oldest(since time.Time) (Sample, bool) {
-	for _, n := range s.ring {
-		if !n.AskedAt.Before(since) {
-			return n, true
+	for _, sample := range s.samples {
+		if !sample.AskedAt.Before(since) {
+			return sample, true
 		}
 	}
 	return Sample{}, false
@@ -59,8 +61,8 @@
 
 // Newest returns the newest sample.
 func (s *Samples) Newest() (Sample, bool) {
-	if len(s.ring) == 0 {
+	if len(s.samples) == 0 {
 		return Sample{}, false
 	}
-	return s.ring[len(s.ring)-1], true
+	return s.samples[len(s.samples)-1], true
 }
--- a/core/staleness/staleness_test.go
+++ b/core/staleness/staleness_test.go
@@ -17,28 +17,28 @@
 	now := time.Unix(1000, 0)
 	s.Add(staleness.Sample{Position: fleet.LogPosition{Term: 1, Index: 7}, AskedAt: now.Add(-2 * time.Second)})
 	s.Add(staleness.Sample{Position: fleet.LogPosition{Term: 1, Index: 9}, AskedAt: now.Add(-time.Second)})
-	n, ok := s.Oldest(now.Add(-1500 * time.Millisecond))
-	fmt.Println(n.Position, ok)
+	sample, ok := s.Oldest(now.Add(-1500 * time.Millisecond))
+	fmt.Println(sample.Position, ok)
 	// Output: 1.9 true
 }
 
-// Whatever samples come, in whatever order: the one that is returned was asked for no
-// earlier than the read allows, and covers what was known at its moment.
+// Guards against a sample that is too old for a read: whatever samples come in whatever order, the
+// one returned was asked for no earlier than the read allows, and covers what was known then.
 func TestOldestIsWithinTheAge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s staleness.Samples
 		base := time.Unix(1000, 0)
 		for _, ms := range rapid.SliceOfN(rapid.IntRange(0, 10_000), 0, 300).Draw(t, "asked") {
-			// The log at a moment is as long as the moment is late.
+			// The log index equals the time in milliseconds.
 			s.Add(staleness.Sample{
 				Position: fleet.LogPosition{Term: 1, Index: fleet.LogIndex(ms)},
 				AskedAt:  base.Add(time.Duration(ms) * time.Millisecond),
 			})
 		}
 		since := rapid.IntRange(0, 10_000).Draw(t, "since")
-		n, ok := s.Oldest(base.Add(time.Duration(since) * time.Millisecond))
-		if ok && int(n.Position.Index) < since {
-			t.Fatalf("sample %d for a read since %d", n.Position.Index, since)
+		sample, ok := s.Oldest(base.Add(time.Duration(since) * time.Millisecond))
+		if ok && int(sample.Position.Index) < since {
+			t.Fatalf("sample %d for a read since %d", sample.Position.Index, since)
 		}
 	})
 }
