--- a/core/cold/cold_test.go
+++ b/core/cold/cold_test.go
@@ -12,16 +12,16 @@
 )
 
 func ExampleLimit_MaxStatements() {
-	b := cold.Limit{Overshoot: 1.5, Slack: 5}
-	fmt.Println(b.MaxStatements(20), cold.Limit{}.MaxStatements(20))
+	l := cold.Limit{Overshoot: 1.5, Slack: 5}
+	fmt.Println(l.MaxStatements(20), cold.Limit{}.MaxStatements(20))
 	// Output: 17 10
 }
 
-// Guards against more than an instance bears while it is cold: hosts that don't hear each other each
-// take themselves for the one that sends.
+// Guards against exceeding the rate of a cold instance when hosts that don't hear each other each
+// take themselves for the only sender.
 func TestTwoHalvesOfADataCentreKeepToTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := cold.Limit{
+		l := cold.Limit{
 			Overshoot: rapid.Float64Range(1, 3).Draw(t, "overshoot"), Slack: rapid.IntRange(0, 20).Draw(t, "slack"),
 		}
 		rate := rapid.Float64Range(0, 200).Draw(t, "rate")
@@ -35,7 +35,7 @@
 				continue
 			}
 			senders++
-			sent = append(sent, send(t, b.MaxStatements(rate))...)
+			sent = append(sent, send(t, l.MaxStatements(rate))...)
 		}
 		if senders > 2 {
 			t.Fatalf("%d senders", senders)
@@ -47,24 +47,24 @@
 					n++
 				}
 			}
-			if float64(n) > rate*b.Overshoot+float64(b.Slack) {
-				t.Fatalf("%d statements in a second, of %g and %d", n, rate*b.Overshoot, b.Slack)
+			if float64(n) > rate*l.Overshoot+float64(l.Slack) {
+				t.Fatalf("%d statements in a second, of %g and %d", n, rate*l.Overshoot, l.Slack)
 			}
 		}
 	})
 }
 
-// send has one host send as much as it may for three seconds.
-func send(t *rapid.T, most int) []time.Duration {
+// send makes one host send up to its limit for three seconds.
+func send(t *rapid.T, limit int) []time.Duration {
 	var b cold.SendBudget
 	var out []time.Duration
 	begin := time.Unix(1000, 0)
 	at := time.Duration(0)
 	for at < 3*time.Second {
 		at += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
-		all, first := b.Left(begin.Add(at), most)
-		if first > all {
-			t.Fatalf("%d for new operations, of %d", first, all)
+		all, forNew := b.Left(begin.Add(at), limit)
+		if forNew > all {
+			t.Fatalf("%d for new operations, of %d", forNew, all)
 		}
 		n := rapid.IntRange(0, all).Draw(t, "burst")
 		b.Spend(begin.Add(at), n)
