--- a/core/cold/cold_test.go
+++ b/core/cold/cold_test.go
@@ -75,7 +75,8 @@
 	return out
 }
 
-func TestTransactionsUnderWayHaveAReserve(t *testing.T) {
+// Guards against new operations that use up what transactions in progress need on a cold instance.
+func TestTransactionsInProgressHaveAReserve(t *testing.T) {
 	c := qt.New(t)
 	var b cold.SendBudget
 	now := time.Unix(1000, 0)
@@ -88,6 +89,7 @@
 	c.Check(begin, qt.Equals, 9)
 }
 
+// Guards against a third sender: a host that hears less than half of the hosts must not send.
 func TestHostThatHearsFewDoesNotSend(t *testing.T) {
 	c := qt.New(t)
 	c.Check(cold.MaySend(1, 2), qt.IsTrue)
--- a/core/follow/follow_test.go
+++ b/core/follow/follow_test.go
@@ -117,7 +117,7 @@
 	now := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return now.Add(d * time.Millisecond) }
 	var reader follow.PartCache[string]
-	reader.Put(follow.PartRecords, 1, at(0), "no order")
+	reader.Put(follow.PartRecords, 1, at(0), "no promotion request")
 	has := map[follow.Part]follow.Version{}
 	var sub follow.Subscription
 	sub.Begin("r1", at(0))
@@ -126,7 +126,7 @@
 	reader.UpdatesFor(has)
 	c.Assert(sub.Ask(), qt.IsFalse)
 	sub.Begin("r2", at(500))
-	reader.Put(follow.PartRecords, 2, at(600), "an order")
+	reader.Put(follow.PartRecords, 2, at(600), "a promotion request")
 	c.Assert(reader.UpdatesFor(has)[follow.PartRecords].HasBody, qt.IsTrue)
 	c.Assert(sub.Accepts("r1", at(1)), qt.IsFalse)
 	sub.Begin("r1", at(900))
@@ -136,7 +136,7 @@
 	if sub.Ask() {
 		clear(has)
 	}
-	c.Assert(reader.UpdatesFor(has)[follow.PartRecords].Body, qt.Equals, "an order")
+	c.Assert(reader.UpdatesFor(has)[follow.PartRecords].Body, qt.Equals, "a promotion request")
 	c.Assert(sub.Accepts("r1", at(901)), qt.IsTrue)
 }
 
--- a/core/leader/decide.go
+++ b/core/leader/decide.go
@@ -22,7 +22,7 @@
 	Term  fleet.Term
 	// UnreachableFrom is the number of hosts that can't reach the instance, this host included.
 	// ReachableFrom is the number of hosts that have received a response from it although others
-	// can't reach it. UnreachableFor is the time since the first of these hosts failed to reach it.
+	// can't reach it. UnreachableFor is how long at least one host has been unable to reach it.
 	UnreachableFrom, ReachableFrom int
 	UnreachableFor                 time.Duration
 	// Received is the end of the instance's log according to its last status report.
@@ -33,8 +33,8 @@
 type GroupStatus struct {
 	Now       time.Time
 	Instances []InstanceInfo
-	// Since is the time at which the last record became known or, without a record, the time since
-	// which the group has had no confirmed primary.
+	// Since is the later of two times: when the last record became known, if there is one, and from
+	// when on the group has had no confirmed primary.
 	Since time.Time
 }
 
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -47,6 +47,8 @@
 	// a 3 true
 }
 
+// Guards against a registration that is older than the last record and names the former primary: it
+// must not replace the designated primary, and neither must an older record.
 func TestRecordTakesPrecedenceOverRegistrations(t *testing.T) {
 	c := qt.New(t)
 	p := confirmedPrimary()
@@ -77,6 +79,8 @@
 	c.Assert(former, qt.IsFalse)
 }
 
+// Guards against answers of a replaced primary that reach their callers, and against instances that
+// are asked although current records rule them out.
 func TestVerifyAnswer(t *testing.T) {
 	c := qt.New(t)
 	others := []fleet.Instance{"b", "c"}
@@ -110,6 +114,8 @@
 	c.Assert(ask, qt.DeepEquals, []fleet.Instance{"c", "b"})
 }
 
+// Guards against an answer that is verified by a status from before it: another instance may have
+// been promoted in between. A later term refutes the answer, and its deadline ends the wait.
 func TestVerificationNeedsAStatusAskedForAfterTheAnswer(t *testing.T) {
 	c := qt.New(t)
 	var p leader.PendingAnswers
@@ -145,6 +151,8 @@
 	c.Assert(l.RecordsCurrent(start), qt.IsFalse)
 }
 
+// Guards against a promotion for one broken link, against a lost primary that is not replaced, and
+// against the promotion of an instance that is unreachable, leaving, or behind in the log.
 func TestDecide(t *testing.T) {
 	c := qt.New(t)
 	for _, t := range []struct {
@@ -186,12 +194,12 @@
 		}, "", ""},
 	} {
 		p := confirmedPrimary()
-		o, ok := p.Decide(leader.GroupStatus{Now: start, Since: start, Instances: infos(t.change)})
+		req, ok := p.Decide(leader.GroupStatus{Now: start, Since: start, Instances: infos(t.change)})
 		c.Check(ok, qt.Equals, t.primary != "", qt.Commentf("%s", t.name))
-		c.Check(o.Primary, qt.Equals, t.primary, qt.Commentf("%s", t.name))
+		c.Check(req.Primary, qt.Equals, t.primary, qt.Commentf("%s", t.name))
 		if ok {
-			c.Check(o.Reason, qt.Equals, t.reason, qt.Commentf("%s", t.name))
-			c.Check(o.Term, qt.Equals, fleet.Term(2), qt.Commentf("%s", t.name))
+			c.Check(req.Reason, qt.Equals, t.reason, qt.Commentf("%s", t.name))
+			c.Check(req.Term, qt.Equals, fleet.Term(2), qt.Commentf("%s", t.name))
 		}
 	}
 }
@@ -225,10 +233,10 @@
 	_, ok := p.Decide(s)
 	c.Assert(ok, qt.IsFalse)
 	s.Now = start.Add(3 * time.Second)
-	o, ok := p.Decide(s)
+	req, ok := p.Decide(s)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(o.Primary, qt.Equals, fleet.Instance("c"))
-	c.Assert(o.Term, qt.Equals, fleet.Term(3))
+	c.Assert(req.Primary, qt.Equals, fleet.Instance("c"))
+	c.Assert(req.Term, qt.Equals, fleet.Term(3))
 }
 
 // The platform changes nothing when it is asked to promote the instance that is the primary already.
@@ -239,9 +247,9 @@
 	p.AddRecord(leader.Record{Primary: "a", Former: "a", Term: 2, Revision: 7})
 	_, ok := p.ConfirmingRequest("a", 1, start, start.Add(time.Second))
 	c.Assert(ok, qt.IsFalse)
-	o, ok := p.ConfirmingRequest("a", 1, start, start.Add(2*time.Second))
+	req, ok := p.ConfirmingRequest("a", 1, start, start.Add(2*time.Second))
 	c.Assert(ok, qt.IsTrue)
-	p.AddRecord(leader.Record{Primary: o.Primary, Term: o.Term, Revision: 8})
+	p.AddRecord(leader.Record{Primary: req.Primary, Term: req.Term, Revision: 8})
 	c.Assert(p.AddStatus("a", statement.Status{Role: fleet.RolePrimary, Term: 1}), qt.IsTrue)
 }
 
--- a/core/leader/proof.go
+++ b/core/leader/proof.go
@@ -23,7 +23,7 @@
 
 // VerifyAnswer returns what an answer that has just arrived from instance i needs before its caller
 // may get it, the term in which i is the primary and, with VerdictAsk, the instances to ask.
-// recordsCurrent tells that no promotion can have taken effect of which this host has no record.
+// recordsCurrent is set if no promotion can have taken effect of which this host has no record.
 //
 // Guards against a primary that was replaced and has not noticed, because of a network partition or
 // because the promotion has not reached it: its writes are lost and its reads are stale. If the
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -75,6 +75,7 @@
 	})
 }
 
+// Guards against hosts that own far more shards than others of their data centre.
 func TestHomesSpreadEvenly(t *testing.T) {
 	var members []fleet.Member
 	count := map[fleet.Host]int{}
--- a/core/staleness/staleness_test.go
+++ b/core/staleness/staleness_test.go
@@ -43,6 +43,7 @@
 	})
 }
 
+// Guards against a newest sample that is lost when the oldest ones are dropped.
 func TestNewest(t *testing.T) {
 	c := qt.New(t)
 	var s staleness.Samples
