--- a/core/follow/follow.go
+++ b/core/follow/follow.go
@@ -26,8 +26,8 @@
 // PartCopy is a reader's copy of one part.
 type PartCopy[T any] struct {
 	Version Version
-	// Read is when the reader began to read the part.
-	Read time.Time
+	// ReadAt is when the reader began to read the part.
+	ReadAt time.Time
 	// HasBody is set where Body is given. Body is left out for a follower that already has the
 	// version.
 	HasBody bool
@@ -45,10 +45,10 @@
 	if c.parts == nil {
 		c.parts = map[Part]PartCopy[T]{}
 	}
-	if old, ok := c.parts[p]; ok && read.Before(old.Read) {
+	if old, ok := c.parts[p]; ok && read.Before(old.ReadAt) {
 		return
 	}
-	c.parts[p] = PartCopy[T]{Version: v, Read: read, HasBody: true, Body: body}
+	c.parts[p] = PartCopy[T]{Version: v, ReadAt: read, HasBody: true, Body: body}
 }
 
 // UpdatesFor returns all parts for a follower that has the versions in has, without the bodies that
--- a/core/follow/follow_test.go
+++ b/core/follow/follow_test.go
@@ -121,10 +121,10 @@
 	has := map[follow.Part]follow.Version{}
 	var sub follow.Subscription
 	sub.Begin("r1", at(0))
-	c.Assert(sub.Ask(), qt.IsTrue)
+	c.Assert(sub.RequestFull(), qt.IsTrue)
 	c.Assert(sub.Accepts("r1", at(1)), qt.IsTrue)
 	reader.UpdatesFor(has)
-	c.Assert(sub.Ask(), qt.IsFalse)
+	c.Assert(sub.RequestFull(), qt.IsFalse)
 	sub.Begin("r2", at(500))
 	reader.Put(follow.PartRecords, 2, at(600), "a promotion request")
 	c.Assert(reader.UpdatesFor(has)[follow.PartRecords].HasBody, qt.IsTrue)
@@ -133,7 +133,7 @@
 	// An update still in transit no longer contains the record.
 	c.Assert(reader.UpdatesFor(has)[follow.PartRecords].HasBody, qt.IsFalse)
 	c.Assert(sub.Accepts("r1", at(1)), qt.IsFalse)
-	if sub.Ask() {
+	if sub.RequestFull() {
 		clear(has)
 	}
 	c.Assert(reader.UpdatesFor(has)[follow.PartRecords].Body, qt.Equals, "a promotion request")
@@ -215,7 +215,7 @@
 		}
 	}
 	reads := follow.Choose(dc.now, follow.RoleInput{
-		Self: h.Candidate, Others: others, Since: h.since, Renewed: h.renewed,
+		Self: h.Candidate, Others: others, RoleSince: h.since, LastRenewal: h.renewed,
 	}) == follow.RoleReader
 	if reads != h.IsReader {
 		h.IsReader, h.since = reads, dc.now
--- a/core/follow/role.go
+++ b/core/follow/role.go
@@ -53,9 +53,9 @@
 	Self Candidate
 	// Others are the other hosts of the data centre whose reports arrive and that aren't leaving.
 	Others []Candidate
-	// Since is when the host took its role. Renewed is when the last known renewal of any reader
+	// RoleSince is when the host took its role. LastRenewal is when the last known renewal of any reader
 	// was sent.
-	Since, Renewed time.Time
+	RoleSince, LastRenewal time.Time
 }
 
 // Choose returns the role that a host is to take.
@@ -81,7 +81,7 @@
 			followersAhead++
 		}
 	}
-	roleAge := now.Sub(input.Since)
+	roleAge := now.Sub(input.RoleSince)
 	switch {
 	case input.Self.IsReader && workingAhead >= readersPerDataCentre && roleAge > minReaderTime:
 		return RoleFollower
@@ -105,9 +105,9 @@
 }
 
 func sinceRenewal(now time.Time, input RoleInput) time.Duration {
-	since := input.Renewed
-	if input.Since.After(since) {
-		since = input.Since
+	since := input.LastRenewal
+	if input.RoleSince.After(since) {
+		since = input.RoleSince
 	}
 	return now.Sub(since)
 }
--- a/core/follow/session.go
+++ b/core/follow/subscription.go
@@ -27,9 +27,9 @@
 	*s = Subscription{Reader: reader, began: now}
 }
 
-// Ask reports whether the next request to the reader has to ask for all parts, and notes that it
+// RequestFull reports whether the next request to the reader has to ask for all parts, and notes that it
 // did.
-func (s *Subscription) Ask() (full bool) {
+func (s *Subscription) RequestFull() (full bool) {
 	full = !s.fullRequested
 	s.fullRequested = true
 	return full
--- a/core/leader/decide.go
+++ b/core/leader/decide.go
@@ -17,9 +17,9 @@
 	Cold, OutsideRegion bool
 	// Reachable is set when the instance has answered this host's last status request.
 	Reachable bool
-	// Leads is set when the instance has recently reported that it is a primary, in Term.
-	Leads bool
-	Term  fleet.Term
+	// IsPrimary is set when the instance has recently reported that it is a primary, in Term.
+	IsPrimary bool
+	Term      fleet.Term
 	// UnreachableFrom is the number of hosts that can't reach the instance, this host included.
 	// ReachableFrom is the number of hosts that have received a response from it although others
 	// can't reach it. UnreachableFor is how long at least one host has been unable to reach it.
@@ -154,7 +154,7 @@
 func (p *PrimaryState) promotionCandidate(status GroupStatus) (InstanceInfo, bool) {
 	var best InstanceInfo
 	for _, inst := range status.Instances {
-		replaced := inst.Leads && inst.Term < p.term
+		replaced := inst.IsPrimary && inst.Term < p.term
 		if inst.Gone || inst.Leaving || !inst.Reachable || inst.isUnreachable() || replaced ||
 			p.confirmed && inst.Name == p.primary {
 			continue
@@ -183,8 +183,8 @@
 }
 
 func (i InstanceInfo) preferredTo(other InstanceInfo) bool {
-	if i.Leads != other.Leads {
-		return other.Leads
+	if i.IsPrimary != other.IsPrimary {
+		return other.IsPrimary
 	}
 	if c := i.Received.Compare(other.Received); c != 0 {
 		return c > 0
--- a/core/leader/proof.go
+++ b/core/leader/verify.go
@@ -59,8 +59,8 @@
 	Key      uint64
 	Instance fleet.Instance
 	Term     fleet.Term
-	// At is when the answer arrived, Deadline when its verification must be complete.
-	At, Deadline time.Time
+	// ReceivedAt is when the answer arrived, Deadline when its verification must be complete.
+	ReceivedAt, Deadline time.Time
 
 	missing []fleet.Instance
 }
@@ -86,7 +86,7 @@
 	for _, a := range p.pending {
 		n := slices.Index(a.missing, i)
 		switch {
-		case n < 0 || askedAt.Before(a.At):
+		case n < 0 || askedAt.Before(a.ReceivedAt):
 			kept = append(kept, a)
 		case term > a.Term:
 			refuted = append(refuted, a)
@@ -125,8 +125,8 @@
 	askAfter := map[fleet.Instance]time.Time{}
 	for _, a := range p.pending {
 		for _, i := range a.missing {
-			if a.At.After(askAfter[i]) {
-				askAfter[i] = a.At
+			if a.ReceivedAt.After(askAfter[i]) {
+				askAfter[i] = a.ReceivedAt
 			}
 		}
 	}
--- a/core/relay/duty.go
+++ b/core/relay/duty.go
@@ -215,7 +215,7 @@
 			Name: i.info.Name, Leaving: i.info.Leaving || i.evacuated(), Gone: i.gone,
 			Cold: i.isCold(now), OutsideRegion: g.abroad(i),
 			Reachable: i.failures == 0 && !i.toldAt.Before(g.surveyed), Received: i.received,
-			Leads: i.leads, Term: i.term, UnreachableFor: now.Sub(i.doubted),
+			IsPrimary: i.leads, Term: i.term, UnreachableFor: now.Sub(i.doubted),
 		}
 		switch {
 		case i.doubtful(now):
--- a/core/relay/prove.go
+++ b/core/relay/prove.go
@@ -157,7 +157,7 @@
 		o.answer = &a
 		g.unproven[o.key] = o
 		g.proofs.Add(leader.PendingAnswer{
-			Key: o.key, Instance: c.Instance, Term: term, At: now, Deadline: now.Add(proofPatience),
+			Key: o.key, Instance: c.Instance, Term: term, ReceivedAt: now, Deadline: now.Add(proofPatience),
 		}, ask)
 		g.askFor(now)
 		g.r.hurry()
--- a/core/roster/lease.go
+++ b/core/roster/lease.go
@@ -9,20 +9,20 @@
 	until time.Time
 }
 
-// LeaseFor is the lease's time to live in the store, and RenewEvery the interval between renewals:
+// LeaseTTL is the lease's time to live in the store, and RenewInterval the interval between renewals:
 // two renewals may be lost before the lease ends. A shorter lease shows the loss of a shard's owner
 // sooner, a longer one costs the store fewer calls.
 const (
-	LeaseFor   = 6 * time.Second
-	RenewEvery = 2 * time.Second
-	// leaseMargin is how much the host's clock may lose over LeaseFor.
-	leaseMargin = LeaseFor / 10
+	LeaseTTL      = 6 * time.Second
+	RenewInterval = 2 * time.Second
+	// leaseMargin is how much the host's clock may lose over LeaseTTL.
+	leaseMargin = LeaseTTL / 10
 )
 
 // Renewed notes that the store has confirmed a renewal that was sent at sent. The store counts from
 // the receipt of the renewal, which was later, so that the lease ends on this host first.
 func (l *Lease) Renewed(sent time.Time) {
-	if until := sent.Add(LeaseFor - leaseMargin); until.After(l.until) {
+	if until := sent.Add(LeaseTTL - leaseMargin); until.After(l.until) {
 		l.until = until
 	}
 }
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -165,8 +165,8 @@
 	var l roster.Lease
 	c.Assert(l.Valid(epoch), qt.IsFalse)
 	l.Renewed(epoch)
-	c.Assert(l.Valid(epoch.Add(roster.LeaseFor*8/10)), qt.IsTrue)
-	c.Assert(l.Valid(epoch.Add(roster.LeaseFor*9/10)), qt.IsFalse, qt.Commentf("the margin for a slow clock"))
+	c.Assert(l.Valid(epoch.Add(roster.LeaseTTL*8/10)), qt.IsTrue)
+	c.Assert(l.Valid(epoch.Add(roster.LeaseTTL*9/10)), qt.IsFalse, qt.Commentf("the margin for a slow clock"))
 	l.Renewed(epoch.Add(-time.Second))
-	c.Assert(l.Valid(epoch.Add(roster.LeaseFor*8/10)), qt.IsTrue, qt.Commentf("a late response doesn't shorten it"))
+	c.Assert(l.Valid(epoch.Add(roster.LeaseTTL*8/10)), qt.IsTrue, qt.Commentf("a late response doesn't shorten it"))
 }
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -93,7 +93,7 @@
 		StoreUnreachable: !h.registry.StoreReachable(),
 	}
 	h.setRole(follow.Choose(now, follow.RoleInput{
-		Self: self, Others: h.candidates(now), Since: h.following.since, Renewed: h.following.renewed,
+		Self: self, Others: h.candidates(now), RoleSince: h.following.since, LastRenewal: h.following.renewed,
 	}))
 }
 
@@ -141,7 +141,7 @@
 	}
 	f.asked = now
 	l.used = now
-	l.conn.Write(forward.AppendFollow(nil, forward.Follow{Sent: now, Full: f.session.Ask()}))
+	l.conn.Write(forward.AppendFollow(nil, forward.Follow{Sent: now, Full: f.session.RequestFull()}))
 }
 
 // choose takes a reader to follow, another one than the last if there is one.
@@ -194,18 +194,18 @@
 	f.session.Clock.Observe(n.EchoSent, n.EchoHeard)
 	f.centres = fleet.NewSet(n.Centres...)
 	for p, c := range n.Parts {
-		read, ok := f.session.Clock.NotBefore(c.Read)
+		read, ok := f.session.Clock.NotBefore(c.ReadAt)
 		if !ok && !c.HasBody {
 			continue
 		}
-		c.Read = read
+		c.ReadAt = read
 		if p == follow.PartHosts {
 			h.meetAll(h.registry.ParseHosts(c.Body))
 			continue
 		}
 		h.registry.ApplyPart(p, c)
 		if p == follow.PartInstances {
-			h.relay.InstancesConfirmed(c.Read)
+			h.relay.InstancesConfirmed(c.ReadAt)
 		}
 	}
 	if n.Renewed.IsZero() {
@@ -239,7 +239,7 @@
 
 // copied takes in a part of the store that this host has read, and passes it on.
 func (h *Host) copied(p follow.Part, c follow.PartCopy[[]registry.Entry]) {
-	h.following.copies.Put(p, c.Version, c.Read, c.Body)
+	h.following.copies.Put(p, c.Version, c.ReadAt, c.Body)
 	h.passNews()
 }
 
--- a/internal/experiment/rates/host.go
+++ b/internal/experiment/rates/host.go
@@ -82,7 +82,7 @@
 	h.ticking = false
 	h.every(25*time.Millisecond, h.step)
 	h.every(500*time.Millisecond, h.keepSeat)
-	h.every(roster.RenewEvery, h.renew)
+	h.every(roster.RenewInterval, h.renew)
 }
 
 // every repeats f for the life of the process, starting somewhere in d.
--- a/internal/experiment/rates/seats.go
+++ b/internal/experiment/rates/seats.go
@@ -22,7 +22,7 @@
 		if l.name != name || l.until < h.w.now {
 			return false
 		}
-		h.w.leases[h.name] = lease{name, h.w.now + roster.LeaseFor}
+		h.w.leases[h.name] = lease{name, h.w.now + roster.LeaseTTL}
 		return true
 	}, func(ok bool) {
 		if ok && h.lease.Name == name {
@@ -35,7 +35,7 @@
 	name, sent := h.w.random.Uint64(), h.late()
 	h.lease.Reregister(name)
 	storeCall(h, func() bool {
-		h.w.leases[h.name] = lease{name, h.w.now + roster.LeaseFor}
+		h.w.leases[h.name] = lease{name, h.w.now + roster.LeaseTTL}
 		return true
 	}, func(bool) {
 		if h.lease.Name == name {
--- a/io/forward/news.go
+++ b/io/forward/news.go
@@ -44,7 +44,7 @@
 		EchoSent: toMoment(n.EchoSent), EchoHeard: toMoment(n.EchoHeard), Renewed: toMoment(n.Renewed),
 	}
 	for name, c := range n.Parts {
-		p := &forwardpb.Part{Name: string(name), Version: uint64(c.Version), Read: toMoment(c.Read), Whole: c.HasBody}
+		p := &forwardpb.Part{Name: string(name), Version: uint64(c.Version), Read: toMoment(c.ReadAt), Whole: c.HasBody}
 		for _, e := range c.Body {
 			p.Entries = append(p.Entries, &forwardpb.Entry{Key: e.Key, Value: e.Value, Revision: uint64(e.Revision)})
 		}
@@ -63,7 +63,7 @@
 	}
 	for _, p := range m.GetParts() {
 		c := follow.PartCopy[[]registry.Entry]{
-			Version: follow.Version(p.GetVersion()), Read: fromMoment(p.GetRead()), HasBody: p.GetWhole(),
+			Version: follow.Version(p.GetVersion()), ReadAt: fromMoment(p.GetRead()), HasBody: p.GetWhole(),
 		}
 		for _, e := range p.GetEntries() {
 			c.Body = append(c.Body, registry.Entry{
--- a/io/forward/news_test.go
+++ b/io/forward/news_test.go
@@ -18,10 +18,10 @@
 	want := forward.StoreUpdate{
 		EchoSent: at, EchoHeard: at.Add(time.Hour), Renewed: at.Add(time.Second),
 		Parts: forward.Parts{
-			follow.PartCatalog: {Version: 7, Read: at, HasBody: true, Body: []registry.Entry{
+			follow.PartCatalog: {Version: 7, ReadAt: at, HasBody: true, Body: []registry.Entry{
 				{Key: "catalog", Value: []byte{0xff, 0}, Revision: 7},
 			}},
-			follow.PartInstances: {Version: 1 << 63, Read: at},
+			follow.PartInstances: {Version: 1 << 63, ReadAt: at},
 		},
 		Centres: []fleet.DataCentre{"obihiro", "sapporo"},
 	}
--- a/io/members/members.go
+++ b/io/members/members.go
@@ -128,7 +128,7 @@
 	}
 	var g sync.WaitGroup
 	g.Go(func() { r.every(ctx, beatEvery, func(context.Context) error { r.tick(); return nil }) })
-	g.Go(func() { r.every(ctx, roster.RenewEvery, r.Renew) })
+	g.Go(func() { r.every(ctx, roster.RenewInterval, r.Renew) })
 	g.Go(func() { r.every(ctx, watcherListEvery, r.list()) })
 	if r.cfg.Platform != nil {
 		g.Go(func() { r.every(ctx, platformEvery, r.readPlatform) })
--- a/io/members/store.go
+++ b/io/members/store.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	r.calls.WithLabelValues("register").Inc()
-	id, err := r.cfg.Store.Register(ctx, key(r.cfg.Self.Host, rec.Lease), v, roster.LeaseFor)
+	id, err := r.cfg.Store.Register(ctx, key(r.cfg.Self.Host, rec.Lease), v, roster.LeaseTTL)
 	if err != nil {
 		return failure.At(err, "register", "store")
 	}
--- a/io/registry/follow.go
+++ b/io/registry/follow.go
@@ -32,10 +32,10 @@
 		if c.HasBody {
 			r.takeCatalog(snapshot{entries: c.Body, changed: Revision(c.Version)})
 		}
-		r.CatalogConfirmed(c.Read)
+		r.CatalogConfirmed(c.ReadAt)
 	case follow.PartInstances:
 		if c.HasBody {
-			r.takeInstances(c.Body, c.Read)
+			r.takeInstances(c.Body, c.ReadAt)
 		}
 	case follow.PartRecords:
 		if c.HasBody {
@@ -53,6 +53,6 @@
 	if r.cfg.PartRead == nil || r.Role() != follow.RoleReader {
 		return
 	}
-	c := follow.PartCopy[[]Entry]{Version: v, Read: read, HasBody: true, Body: es}
+	c := follow.PartCopy[[]Entry]{Version: v, ReadAt: read, HasBody: true, Body: es}
 	r.cfg.Post(func() { r.cfg.PartRead(p, c) })
 }
--- a/io/registry/follow_test.go
+++ b/io/registry/follow_test.go
@@ -25,7 +25,7 @@
 	cfg := config(s, t, 0, time.Second, 0)
 	cfg.ElectReaders, cfg.HostCount = true, func(n int) { x.count = n }
 	cfg.Role = func(r follow.Role) { x.role = r }
-	cfg.PartRead = func(p follow.Part, o follow.PartCopy[[]registry.Entry]) { x.copies.Put(p, o.Version, o.Read, o.Body) }
+	cfg.PartRead = func(p follow.Part, o follow.PartCopy[[]registry.Entry]) { x.copies.Put(p, o.Version, o.ReadAt, o.Body) }
 	return start(c, cfg), t, x
 }
 
@@ -174,7 +174,7 @@
 	r, got, x := joinLarge(c, s)
 	until(c, got, "a role", func() bool { return x.role != "" })
 	take := func(p follow.Part, e registry.Entry) {
-		r.ApplyPart(p, follow.PartCopy[[]registry.Entry]{Version: 9, Read: time.Now(), HasBody: true,
+		r.ApplyPart(p, follow.PartCopy[[]registry.Entry]{Version: 9, ReadAt: time.Now(), HasBody: true,
 			Body: []registry.Entry{e}})
 	}
 	take(follow.PartCatalog, registry.Entry{Key: "catalog", Value: []byte("7"), Revision: 9})
