--- a/core/leader/verify.go
+++ b/core/leader/verify.go
@@ -71,7 +71,7 @@
 }
 
 // Add keeps a pending until each of others has reported its status in response to a request that
-// was sent no earlier than a.At.
+// was sent no earlier than a.ReceivedAt.
 func (p *PendingAnswers) Add(a PendingAnswer, others []fleet.Instance) {
 	a.missing = slices.Clone(others)
 	p.pending = append(p.pending, a)
