--- a/core/group/suspect.go
+++ b/core/group/assess.go
@@ -25,9 +25,9 @@
 	// OutvoteAfter is how long the primary has to be silent to most of the
 	// group's hosts to be replaced although another host reaches it.
 	OutvoteAfter time.Duration
-	// StrandedAfter is how long another host has to end the promotion that it
+	// AbandonedAfter is how long another host has to end the promotion that it
 	// has begun.
-	StrandedAfter time.Duration
+	AbandonedAfter time.Duration
 	// StallAfter is how long no replica may have copied anything, while the
 	// primary is ahead of them all, before the primary counts as cut off from
 	// them. It exceeds any lag at which writes could still be acknowledged.
@@ -48,18 +48,18 @@
 	DefaultRefusedAfter      = 300 * time.Millisecond
 	DefaultSoleObserverAfter = 5 * time.Second
 	DefaultOutvoteAfter      = 2 * time.Second
-	DefaultStrandedAfter     = 500 * time.Millisecond
+	DefaultAbandonedAfter    = 500 * time.Millisecond
 	DefaultStallAfter        = 10 * time.Second
 	DefaultLeaveAfter        = 1500 * time.Millisecond
 	DefaultLeaveQuiet        = 300 * time.Millisecond
 )
 
-// slowFactor is how many times its usual latency a primary may owe an answer:
+// slowLatencyFactor is how many times its usual latency a primary may owe an answer:
 // one that has been slow for a while is slow, not dead.
-const slowFactor = 4
+const slowLatencyFactor = 4
 
-// slowLimit caps the allowance for a slow primary.
-const slowLimit = 1500 * time.Millisecond
+// maxSlowAllowance caps the allowance for a slow primary.
+const maxSlowAllowance = 1500 * time.Millisecond
 
 func orDefault(d, def time.Duration) time.Duration {
 	if d == 0 {
@@ -69,24 +69,24 @@
 }
 
 // SilenceLimit returns how long s may owe an answer before it is suspected.
-func (p Policy) SilenceLimit(s Observation) time.Duration {
-	d := orDefault(p.SuspectAfter, DefaultSuspectAfter)
-	if s.Refusing {
-		return min(d, orDefault(p.RefusedAfter, DefaultRefusedAfter))
+func (p Policy) SilenceLimit(o Observation) time.Duration {
+	limit := orDefault(p.SuspectAfter, DefaultSuspectAfter)
+	if o.Refusing {
+		return min(limit, orDefault(p.RefusedAfter, DefaultRefusedAfter))
 	}
-	return max(d, min(slowFactor*s.Latency, slowLimit))
+	return max(limit, min(slowLatencyFactor*o.Latency, maxSlowAllowance))
 }
 
 // Suspects reports whether s has owed an answer for longer than it may.
-func (p Policy) Suspects(s Observation, now time.Time) bool {
-	return s.Silent(now) >= p.SilenceLimit(s)
+func (p Policy) Suspects(o Observation, now time.Time) bool {
+	return o.Silent(now) >= p.SilenceLimit(o)
 }
 
 // ShouldAskPeers reports whether s has been silent for long enough to ask the other
 // hosts: a quarter of the time after which it is suspected, so that a host which
 // asks an idle group once a second has missed it for RefusedAfter by then.
-func (p Policy) ShouldAskPeers(s Observation, now time.Time) bool {
-	return s.Silent(now) >= p.SilenceLimit(s)/4
+func (p Policy) ShouldAskPeers(o Observation, now time.Time) bool {
+	return o.Silent(now) >= p.SilenceLimit(o)/4
 }
 
 // Cause is why a promotion is due.
@@ -98,7 +98,7 @@
 	CauseSilent       Cause = "silent"
 	CauseOutvoted     Cause = "silent to most hosts"
 	CauseSoleObserver Cause = "silent, no second view to be had"
-	CauseStranded     Cause = "promotion abandoned"
+	CauseAbandoned    Cause = "promotion abandoned"
 	CauseStalled      Cause = "cut off from its replicas"
 	CauseLeaving      Cause = "leaving"
 )
@@ -134,127 +134,131 @@
 // A host that doesn't reach a majority of the instances proposes nothing. It
 // would fence the few that it reaches again and again; once the cut heals, they
 // would refuse the primary that the others have, and force it out.
-func AssessPrimary(now time.Time, p Policy, t Snapshot, me Observer, views []View, order []fleet.Host) Assessment {
-	if !t.HasQuorum(now) {
+func AssessPrimary(
+	now time.Time, p Policy, s Snapshot, self Observer, views []View, preference []fleet.Host,
+) Assessment {
+	if !s.HasQuorum(now) {
 		return Assessment{Reason: "a majority of the instances is silent"}
 	}
-	if t.NoPrimary() {
-		return p.headless(now, t, me, views, order)
+	if s.NoPrimary() {
+		return p.assessWithoutPrimary(now, s, self, views, preference)
 	}
-	s, _ := t.Find(t.Primary)
-	if !p.Suspects(s, now) {
-		j := p.unfit(now, t, s)
+	primary, _ := s.Find(s.Primary)
+	if !p.Suspects(primary, now) {
+		a := p.assessAnswering(now, s, primary)
 		// No view is asked for while the primary answers.
-		j.Rank = max(0, slices.Index(order, me.Host))
-		return j
+		a.Rank = max(0, slices.Index(preference, self.Host))
+		return a
 	}
-	v, newer := p.count(me, views, t)
+	v, newer := p.countVotes(self, views, s)
 	if newer != "" {
 		return Assessment{Reason: fmt.Sprintf("host %s knows a later term", newer)}
 	}
-	j := p.silent(s.Silent(now), v, t, len(order))
-	j.Rank = rank(me.Host, order, views)
-	return j
+	a := p.assessSilent(primary.Silent(now), v, s, len(preference))
+	a.Rank = rankAmongAnswering(self.Host, preference, views)
+	return a
 }
 
 // votes are the hosts that miss the primary and those that reach it.
 type votes struct {
-	miss    []Observer
-	reaches []fleet.Host
+	unreachableFrom []Observer
+	reachableFrom   []fleet.Host
 }
 
-// count sorts the views, and returns the host that knows a later primary.
+// countVotes sorts the views, and returns the host that knows a later primary.
 //
 // The word of a host that reaches the primary but no majority counts for neither
 // side: it can confirm nothing of that primary, and were it heard, half a cut, with
 // the primary and one host on one side and the majority on the other, would stop all
 // writes for as long as it lasts.
-func (p Policy) count(me Observer, views []View, t Snapshot) (votes, fleet.Host) {
-	v := votes{miss: []Observer{me}}
-	for _, w := range views {
-		switch p.opinion(w, t) {
-		case opinionReaches:
-			if w.informed() {
-				v.reaches = append(v.reaches, w.Host)
+func (p Policy) countVotes(self Observer, views []View, s Snapshot) (votes, fleet.Host) {
+	v := votes{unreachableFrom: []Observer{self}}
+	for _, view := range views {
+		switch p.reachability(view, s) {
+		case reachabilityReachable:
+			if view.reachesMajority() {
+				v.reachableFrom = append(v.reachableFrom, view.Host)
 			}
-		case opinionNewer:
-			return v, w.Host
-		case opinionMisses:
-			v.miss = append(v.miss, Observer{Host: w.Host, DataCentre: w.DataCentre})
-		case opinionNone:
+		case reachabilityNewerTerm:
+			return v, view.Host
+		case reachabilityUnreachable:
+			v.unreachableFrom = append(v.unreachableFrom, Observer{Host: view.Host, DataCentre: view.DataCentre})
+		case reachabilityUnknown:
 		}
 	}
 	return v, ""
 }
 
-// silent decides about a primary that is silent to this host, of so many that
+// assessSilent decides about a primary that is assessSilent to this host, of so many that
 // hold the group.
-func (p Policy) silent(d time.Duration, v votes, t Snapshot, hosts int) Assessment {
-	both := len(v.miss) > 1 && (centres(v.miss) > 1 || !spread(t))
-	j := Assessment{Reason: fmt.Sprintf("silent for %v, to %d of %d hosts", d.Round(time.Millisecond), len(v.miss), hosts)}
+func (p Policy) assessSilent(silentFor time.Duration, v votes, s Snapshot, hosts int) Assessment {
+	enoughObservers := len(v.unreachableFrom) > 1 && (dataCentreCount(v.unreachableFrom) > 1 || !spansDataCentres(s))
+	a := Assessment{Reason: fmt.Sprintf("silent for %v, to %d of %d hosts",
+		silentFor.Round(time.Millisecond), len(v.unreachableFrom), hosts)}
 	switch {
-	case both && len(v.reaches) == 0:
-		j.Cause = CauseSilent
-	case len(v.reaches) > 0 && both && 2*len(v.miss) > hosts && d >= orDefault(p.OutvoteAfter, DefaultOutvoteAfter):
-		j.Cause = CauseOutvoted
-	case len(v.reaches) > 0:
-		j.Reason = fmt.Sprintf("host %s reaches the primary", v.reaches[0])
-	case d >= orDefault(p.SoleObserverAfter, DefaultSoleObserverAfter):
-		j.Cause = CauseSoleObserver
+	case enoughObservers && len(v.reachableFrom) == 0:
+		a.Cause = CauseSilent
+	case len(v.reachableFrom) > 0 && enoughObservers && 2*len(v.unreachableFrom) > hosts &&
+		silentFor >= orDefault(p.OutvoteAfter, DefaultOutvoteAfter):
+		a.Cause = CauseOutvoted
+	case len(v.reachableFrom) > 0:
+		a.Reason = fmt.Sprintf("host %s reaches the primary", v.reachableFrom[0])
+	case silentFor >= orDefault(p.SoleObserverAfter, DefaultSoleObserverAfter):
+		a.Cause = CauseSoleObserver
 	}
-	return j
+	return a
 }
 
-type opinion string
+type reachability string
 
 const (
-	opinionNone    opinion = "none"
-	opinionReaches opinion = "reaches"
-	opinionMisses  opinion = "misses"
-	opinionNewer   opinion = "newer"
+	reachabilityUnknown     reachability = "none"
+	reachabilityReachable   reachability = "reaches"
+	reachabilityUnreachable reachability = "misses"
+	reachabilityNewerTerm   reachability = "newer"
 )
 
-func (p Policy) opinion(v View, t Snapshot) opinion {
-	out := opinionNone
+func (p Policy) reachability(v View, s Snapshot) reachability {
+	out := reachabilityUnknown
 	for _, i := range v.Instances {
-		if i.Term > t.Term && i.Role == fleet.RolePrimary && i.Last.Term == i.Term && i.Reachable {
-			return opinionNewer
+		if i.Term > s.Term && i.Role == fleet.RolePrimary && i.Last.Term == i.Term && i.Reachable {
+			return reachabilityNewerTerm
 		}
-		if i.Instance != t.Primary {
+		if i.Instance != s.Primary {
 			continue
 		}
 		if i.Reachable {
-			out = opinionReaches
+			out = reachabilityReachable
 		} else if i.Silent >= orDefault(p.RefusedAfter, DefaultRefusedAfter) {
-			out = opinionMisses
+			out = reachabilityUnreachable
 		}
 	}
 	return out
 }
 
-func centres(w []Observer) int {
-	s := fleet.NewSet[fleet.DataCentre]()
-	for _, e := range w {
-		s.Add(e.DataCentre)
+func dataCentreCount(observers []Observer) int {
+	centres := fleet.NewSet[fleet.DataCentre]()
+	for _, o := range observers {
+		centres.Add(o.DataCentre)
 	}
-	return len(s)
+	return len(centres)
 }
 
-func spread(t Snapshot) bool {
-	s := fleet.NewSet[fleet.DataCentre]()
-	for _, e := range t.Observations {
-		s.Add(e.Instance.DataCentre)
+func spansDataCentres(s Snapshot) bool {
+	centres := fleet.NewSet[fleet.DataCentre]()
+	for _, o := range s.Observations {
+		centres.Add(o.Instance.DataCentre)
 	}
-	return len(s) > 1
+	return len(centres) > 1
 }
 
-// rank counts the hosts ahead of me in order that have given a view. Whether
+// rankAmongAnswering counts the hosts ahead of me in order that have given a view. Whether
 // they agree yet doesn't matter: they will a moment later, and two hosts that
 // both took themselves for the first would fence each other out.
-func rank(me fleet.Host, order []fleet.Host, views []View) int {
+func rankAmongAnswering(self fleet.Host, preference []fleet.Host, views []View) int {
 	var n int
-	for _, h := range order {
-		if h == me {
+	for _, h := range preference {
+		if h == self {
 			break
 		}
 		if slices.ContainsFunc(views, func(v View) bool { return v.Host == h }) {
--- a/core/group/group_test.go
+++ b/core/group/group_test.go
@@ -19,7 +19,7 @@
 	return s
 }
 
-func three() *group.Group {
+func newGroup() *group.Group {
 	g := new(group.Group)
 	g.Configure(start, []document.Instance{
 		{Name: "a", Address: "127.0.0.1:1"}, {Name: "b", Address: "127.0.0.1:2"}, {Name: "c", Address: "127.0.0.1:3"},
@@ -34,30 +34,30 @@
 	return g
 }
 
-func later(ms int) time.Time {
+func at(ms int) time.Time {
 	return start.Add(time.Duration(ms) * time.Millisecond)
 }
 
 // Two answers of an instance cross. The older one, taken for the state of now,
 // would take the group back to a primary that is no more.
-func TestCrossedAnswersDontTurnBack(t *testing.T) {
+func TestOlderAnswerThatArrivesLaterIsIgnored(t *testing.T) {
 	c := qt.New(t)
-	g := three()
-	g.StatusReceived("a", later(20), later(21), status("a", 2, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
-	g.StatusReceived("a", later(10), later(30), status("a", 1, fleet.RolePrimary, fleet.LogPosition{Term: 1, Index: 5}))
-	c.Assert(g.Snapshot(later(30)).Primary, qt.Equals, fleet.Instance(""))
+	g := newGroup()
+	g.StatusReceived("a", at(20), at(21), status("a", 2, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
+	g.StatusReceived("a", at(10), at(30), status("a", 1, fleet.RolePrimary, fleet.LogPosition{Term: 1, Index: 5}))
+	c.Assert(g.Snapshot(at(30)).Primary, qt.Equals, fleet.Instance(""))
 }
 
 // An address that is wired to another instance would have that one's position
 // counted twice, and a write held by one instance taken for replicated.
 func TestAnswerOfAnotherInstanceIsNotCounted(t *testing.T) {
 	c := qt.New(t)
-	g := three()
-	w := fleet.LogPosition{Term: 1, Index: 6}
-	g.StatusReceived("a", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
-	g.StatusReceived("b", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
-	g.CommandAnswered("b", later(1), later(2), status("a", 1, fleet.RolePrimary, w))
-	got := g.Snapshot(later(2)).Acknowledge(document.AcknowledgeReplicated, w, start)
+	g := newGroup()
+	write := fleet.LogPosition{Term: 1, Index: 6}
+	g.StatusReceived("a", at(1), at(2), status("a", 1, fleet.RolePrimary, write))
+	g.StatusReceived("b", at(1), at(2), status("a", 1, fleet.RolePrimary, write))
+	g.CommandAnswered("b", at(1), at(2), status("a", 1, fleet.RolePrimary, write))
+	got := g.Snapshot(at(2)).Acknowledge(document.AcknowledgeReplicated, write, start)
 	c.Assert(got, qt.Equals, group.VerdictWait)
 }
 
@@ -65,57 +65,57 @@
 // has promised a later term. A write sent to it would end as unknown.
 func TestReplacedPrimaryIsNotNamed(t *testing.T) {
 	c := qt.New(t)
-	g := three()
+	g := newGroup()
 	for _, n := range []fleet.Instance{"b", "c"} {
-		g.StatusReceived(n, later(1), later(2), status(n, 2, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
+		g.StatusReceived(n, at(1), at(2), status(n, 2, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
 	}
-	t2 := g.Snapshot(later(2))
-	c.Assert(t2.Primary, qt.Equals, fleet.Instance(""))
-	w := fleet.LogPosition{Term: 1, Index: 5}
-	c.Assert(t2.Acknowledge(document.AcknowledgePrimary, w, start), qt.Equals, group.VerdictReplaced)
+	s := g.Snapshot(at(2))
+	c.Assert(s.Primary, qt.Equals, fleet.Instance(""))
+	write := fleet.LogPosition{Term: 1, Index: 5}
+	c.Assert(s.Acknowledge(document.AcknowledgePrimary, write, start), qt.Equals, group.VerdictReplaced)
 }
 
-func TestRepairPointsWhoDoesNotFollow(t *testing.T) {
+func TestRepairCommandsInstancesThatDoNotFollow(t *testing.T) {
 	c := qt.New(t)
-	g := three()
+	g := newGroup()
 	c.Assert(group.Repair(g.Snapshot(start)), qt.HasLen, 0)
 	// b has been left out of the last promotion, c has promised to a proposer
 	// whose promotion isn't over and would refuse.
 	for _, n := range []fleet.Instance{"a"} {
-		g.StatusReceived(n, later(1), later(2), status(n, 2, fleet.RolePrimary, fleet.LogPosition{Term: 2, Index: 6}))
+		g.StatusReceived(n, at(1), at(2), status(n, 2, fleet.RolePrimary, fleet.LogPosition{Term: 2, Index: 6}))
 	}
-	g.StatusReceived("c", later(1), later(2), status("c", 3, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
-	c.Assert(group.Repair(g.Snapshot(later(2))), qt.DeepEquals, []group.Command{{
+	g.StatusReceived("c", at(1), at(2), status("c", 3, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5}))
+	c.Assert(group.Repair(g.Snapshot(at(2))), qt.DeepEquals, []group.Command{{
 		Act: group.ActFollow, Instance: "b", Term: 2, Primary: "a", Address: "127.0.0.1:1",
 	}})
 }
 
 // The answer to the order to promote is lost. The instance may be the primary
 // by now, so nobody else may become it in the same term.
-func TestLostPromotionIsNotTriedOnAnother(t *testing.T) {
+func TestPromotionWithLostAnswerIsNotTriedOnAnotherInstance(t *testing.T) {
 	c := qt.New(t)
-	g := three()
-	p, orders := group.Promote(start, g.Snapshot(start), "h0/1/1", nil)
-	var promote []group.Command
-	for _, o := range orders {
-		st := status(o.Instance, p.Term, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5})
-		promote = append(promote, p.Done(later(1), o, st, nil)...)
+	g := newGroup()
+	p, commands := group.Promote(start, g.Snapshot(start), "h0/1/1", nil)
+	var promoteCommands []group.Command
+	for _, command := range commands {
+		st := status(command.Instance, p.Term, fleet.RoleReplica, fleet.LogPosition{Term: 1, Index: 5})
+		promoteCommands = append(promoteCommands, p.Done(at(1), command, st, nil)...)
 	}
-	c.Assert(promote, qt.HasLen, 1)
-	c.Assert(p.Tick(later(3000)), qt.HasLen, 0)
+	c.Assert(promoteCommands, qt.HasLen, 1)
+	c.Assert(p.Tick(at(3000)), qt.HasLen, 0)
 	c.Assert(p.Phase, qt.Equals, group.PhaseFailed)
-	c.Assert(p.Done(later(3001), promote[0], status("a", 2, fleet.RolePrimary, fleet.LogPosition{Term: 2, Index: 6}), nil),
-		qt.HasLen, 0)
+	c.Assert(p.Done(at(3001), promoteCommands[0],
+		status("a", 2, fleet.RolePrimary, fleet.LogPosition{Term: 2, Index: 6}), nil), qt.HasLen, 0)
 }
 
 func TestHistoryStaysSmallAndNearlyExact(t *testing.T) {
 	c := qt.New(t)
 	var h group.History
 	for ms := range 120_000 {
-		h = h.Add(group.Proof{Position: fleet.LogPosition{Term: 1, Index: fleet.LogIndex(ms)}, AsOf: later(ms)})
+		h = h.Add(group.Proof{Position: fleet.LogPosition{Term: 1, Index: fleet.LogIndex(ms)}, AsOf: at(ms)})
 	}
 	c.Assert(len(h) < 80, qt.IsTrue, qt.Commentf("%d proofs", len(h)))
-	now := later(120_000)
+	now := at(120_000)
 	for _, age := range []int{10, 100, 1000, 5000, 30_000} {
 		got, ok := h.Age(fleet.LogPosition{Term: 1, Index: fleet.LogIndex(120_000 - age)}, now)
 		want := time.Duration(age) * time.Millisecond
--- a/core/group/grouptest/grouptest.go
+++ b/core/group/grouptest/grouptest.go
@@ -64,40 +64,40 @@
 }
 
 // Fence promises t to one proposer.
-func (i *Instance) Fence(t fleet.Term, proposer fleet.Host) error {
-	if t == i.Promised && proposer == i.Proposer {
+func (i *Instance) Fence(term fleet.Term, proposer fleet.Host) error {
+	if term == i.Promised && proposer == i.Proposer {
 		return nil
 	}
-	if t <= i.Promised {
+	if term <= i.Promised {
 		return ErrTerm
 	}
-	i.Promised, i.Proposer = t, proposer
+	i.Promised, i.Proposer = term, proposer
 	return nil
 }
 
 // Promote makes the instance the primary of t, which the proposer was promised.
-func (i *Instance) Promote(t fleet.Term, proposer fleet.Host) error {
-	if t != i.Promised || proposer != i.Proposer {
+func (i *Instance) Promote(term fleet.Term, proposer fleet.Host) error {
+	if term != i.Promised || proposer != i.Proposer {
 		return ErrTerm
 	}
-	if i.Role == fleet.RolePrimary && i.Last().Term == t {
+	if i.Role == fleet.RolePrimary && i.Last().Term == term {
 		return nil
 	}
 	i.Role, i.Follows = fleet.RolePrimary, ""
-	i.Log = append(i.Log, Entry{Term: t})
+	i.Log = append(i.Log, Entry{Term: term})
 	return nil
 }
 
 // Follow makes the instance a replica of primary in term t.
-func (i *Instance) Follow(t fleet.Term, primary fleet.Instance) error {
-	if t < i.Promised {
+func (i *Instance) Follow(term fleet.Term, primary fleet.Instance) error {
+	if term < i.Promised {
 		return ErrTerm
 	}
-	if i.Role == fleet.RolePrimary && i.Last().Term == t {
+	if i.Role == fleet.RolePrimary && i.Last().Term == term {
 		return ErrTerm
 	}
-	if t > i.Promised {
-		i.Promised, i.Proposer = t, ""
+	if term > i.Promised {
+		i.Promised, i.Proposer = term, ""
 	}
 	i.Role, i.Follows = fleet.RoleReplica, primary
 	return nil
@@ -108,11 +108,11 @@
 	if i.Role != fleet.RolePrimary {
 		return fleet.LogPosition{}, ErrReplica
 	}
-	t := i.Last().Term
-	if i.Promised > t {
+	term := i.Last().Term
+	if i.Promised > term {
 		return fleet.LogPosition{}, ErrFenced
 	}
-	i.Log = append(i.Log, Entry{Term: t, Value: value})
+	i.Log = append(i.Log, Entry{Term: term, Value: value})
 	return i.Last(), nil
 }
 
--- a/core/group/history.go
+++ b/core/group/history.go
@@ -12,13 +12,13 @@
 // dozen proofs.
 type History []Proof
 
-// historySpan is the longest age that can be proven; a caller that accepts
+// maxProvableAge is the longest age that can be proven; a caller that accepts
 // older data than this is served as if it had asked for this.
-const historySpan = time.Minute
+const maxProvableAge = time.Minute
 
-// finest is the least gap between two kept proofs, so that a busy group's
+// minProofGap is the least gap between two kept proofs, so that a busy group's
 // hundreds of rounds a second don't fill the history.
-const finest = 5 * time.Millisecond
+const minProofGap = 5 * time.Millisecond
 
 // Add returns h with p, without those that are no longer needed. h itself is
 // left as it is.
@@ -27,26 +27,26 @@
 		return h
 	}
 	out := make(History, 0, len(h)+1)
-	for i, o := range h {
-		age := p.AsOf.Sub(o.AsOf)
-		if age > historySpan {
+	for i, old := range h {
+		age := p.AsOf.Sub(old.AsOf)
+		if age > maxProvableAge {
 			continue
 		}
 		next := p
 		if i+1 < len(h) {
 			next = h[i+1]
 		}
-		if n := len(out); n > 0 && next.AsOf.Sub(out[n-1].AsOf) < max(finest, p.AsOf.Sub(next.AsOf)/4) {
+		if n := len(out); n > 0 && next.AsOf.Sub(out[n-1].AsOf) < max(minProofGap, p.AsOf.Sub(next.AsOf)/4) {
 			continue
 		}
-		out = append(out, o)
+		out = append(out, old)
 	}
 	return append(out, p)
 }
 
-// Since returns the latest moment before which a log that ends at p is proven
+// CompleteUntil returns the latest moment before which a log that ends at p is proven
 // to have every acknowledged write.
-func (h History) Since(p fleet.LogPosition) (time.Time, bool) {
+func (h History) CompleteUntil(p fleet.LogPosition) (time.Time, bool) {
 	for i := len(h) - 1; i >= 0; i-- {
 		if p.Covers(h[i].Position) {
 			return h[i].AsOf, true
@@ -58,16 +58,16 @@
 // Age returns how old the data of a log that ends at p is at the most, and
 // whether that can be proven.
 func (h History) Age(p fleet.LogPosition, now time.Time) (time.Duration, bool) {
-	asOf, ok := h.Since(p)
+	asOf, ok := h.CompleteUntil(p)
 	return max(0, now.Sub(asOf)), ok
 }
 
-// Missing returns the earliest moment by which the primary is known to have had
+// MissingSince returns the earliest moment by which the primary is known to have had
 // more than a log that ends at p, and false when it isn't known to have more.
-func (h History) Missing(p fleet.LogPosition) (time.Time, bool) {
-	for _, o := range h {
-		if !p.Covers(o.Position) {
-			return o.AsOf, true
+func (h History) MissingSince(p fleet.LogPosition) (time.Time, bool) {
+	for _, proof := range h {
+		if !p.Covers(proof.Position) {
+			return proof.AsOf, true
 		}
 	}
 	return time.Time{}, false
--- a/core/group/model_test.go
+++ b/core/group/model_test.go
@@ -34,13 +34,13 @@
 				t.Parallel()
 				stats := make(map[string]int)
 				rapid.Check(t, func(t *rapid.T) {
-					w := newWorld(n, 3)
-					w.rule = rule
-					w.start()
-					w.stats = stats
+					m := newModel(n, 3)
+					m.acknowledge = rule
+					m.start()
+					m.stats = stats
 					pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
 					for range 2000 {
-						if err := w.step(pick); err != nil {
+						if err := m.step(pick); err != nil {
 							t.Fatal(err)
 						}
 					}
@@ -56,10 +56,10 @@
 	}
 }
 
-func run(w *world, seed uint64, steps int) error {
+func runSteps(m *model, seed uint64, steps int) error {
 	r := rand.New(rand.NewPCG(seed, 1))
 	for n := range steps {
-		if err := w.step(r.IntN); err != nil {
+		if err := m.step(r.IntN); err != nil {
 			return fmt.Errorf("seed %d step %d: %w", seed, n, err)
 		}
 	}
@@ -69,24 +69,24 @@
 // TestModelFindsEveryMissingGuard takes out one guard at a time. A model that
 // still held would not be testing that guard.
 func TestModelFindsEveryMissingGuard(t *testing.T) {
-	unfenced := func(f func(s group.Observation, n fleet.Term, since time.Time) bool) group.Rules {
+	unfenced := func(f func(o group.Observation, n fleet.Term, since time.Time) bool) group.Rules {
 		return group.Rules{Unfenced: f}
 	}
 	tests := []struct {
 		guard string
 		rules group.Rules
-		set   func(w *world)
+		set   func(m *model)
 	}{
 		{guard: "majority", rules: group.Rules{Majority: func(n int) int { return n / 2 }}},
-		{guard: "promised term", rules: unfenced(func(s group.Observation, _ fleet.Term, since time.Time) bool {
-			return s.Known() && !s.Sent.Before(since)
+		{guard: "promised term", rules: unfenced(func(o group.Observation, _ fleet.Term, since time.Time) bool {
+			return o.Known() && !o.Sent.Before(since)
 		})},
 		{
 			guard: "asked after the commit",
-			rules: unfenced(func(s group.Observation, n fleet.Term, _ time.Time) bool {
-				return s.Known() && s.Status.Promised == n
+			rules: unfenced(func(o group.Observation, n fleet.Term, _ time.Time) bool {
+				return o.Known() && o.Status.Promised == n
 			}),
-			set: func(w *world) { w.rule = document.AcknowledgePrimary },
+			set: func(m *model) { m.acknowledge = document.AcknowledgePrimary },
 		},
 		{guard: "holds the write", rules: group.Rules{HasEntry: func(group.Observation, fleet.LogPosition) bool {
 			return true
@@ -104,24 +104,24 @@
 				return ""
 			},
 		}},
-		{guard: "unique proposer", set: func(w *world) {
-			w.proposer = func(h *host) fleet.Host { return fleet.Host(fmt.Sprint(h.index)) }
+		{guard: "unique proposer", set: func(m *model) {
+			m.proposer = func(h *host) fleet.Host { return fleet.Host(fmt.Sprint(h.index)) }
 		}},
-		{guard: "age from the question", set: func(w *world) {
-			w.stamp = func(_, heard time.Time) time.Time { return heard }
+		{guard: "age from the question", set: func(m *model) {
+			m.askedAt = func(_, heard time.Time) time.Time { return heard }
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.guard, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(400) {
-				w := newWorld(3, 3)
-				w.rules = tt.rules
+				m := newModel(3, 3)
+				m.rules = tt.rules
 				if tt.set != nil {
-					tt.set(w)
+					tt.set(m)
 				}
-				w.start()
-				if err := run(w, seed, 2000); err != nil {
+				m.start()
+				if err := runSteps(m, seed, 2000); err != nil {
 					t.Logf("found: %v", err)
 					return
 				}
--- a/core/group/stranded_test.go
+++ b/core/group/no_primary_test.go
@@ -14,20 +14,20 @@
 // from both replicas that term 1 is promised, finds no primary of that term and
 // promotes a replica: callers' writes in progress end as unknown, though nothing
 // has failed. Another host's word, or patience, has to stop it.
-func TestHostThatHasNotMetThePrimaryPromotesNoOne(t *testing.T) {
+func TestHostThatHasNotReachedThePrimaryDoesNotPromote(t *testing.T) {
 	c := qt.New(t)
-	w := newWatcher()
-	w.dead["a"] = true
-	w.watch(time.Second)
-	c.Assert(w.judge().Cause, qt.Equals, group.CauseNone)
+	p := newPoller()
+	p.unreachable["a"] = true
+	p.run(time.Second)
+	c.Assert(p.assess().Cause, qt.Equals, group.CauseNone)
 
 	other := group.View{Host: "h1", DataCentre: "dc-b", Instances: []group.InstanceView{{
 		Instance: "a", Reachable: true, Term: 1, Role: fleet.RolePrimary, Last: fleet.LogPosition{Term: 1, Index: 9},
 	}}}
-	w.watch(9 * time.Second)
-	c.Assert(w.judge(other).Cause, qt.Equals, group.CauseNone)
+	p.run(9 * time.Second)
+	c.Assert(p.assess(other).Cause, qt.Equals, group.CauseNone)
 	// Nobody reaches it: the group must not stay without a primary for ever.
-	c.Assert(w.judge().Cause, qt.Equals, group.CauseSoleObserver)
+	c.Assert(p.assess().Cause, qt.Equals, group.CauseSoleObserver)
 	other.Instances[0].Last.Term = 0 // fenced: its last entry is of an earlier term
-	c.Assert(w.judge(other).Cause, qt.Equals, group.CauseSilent)
+	c.Assert(p.assess(other).Cause, qt.Equals, group.CauseSilent)
 }
--- a/core/group/seen.go
+++ b/core/group/observation.go
@@ -38,112 +38,112 @@
 	// Refusing is set while the instance's address refuses connections.
 	Refusing bool `json:"refusing"`
 
-	asked int
+	pendingRequests int
 }
 
 // Known reports whether the instance has ever answered.
-func (s Observation) Known() bool {
-	return !s.Sent.IsZero()
+func (o Observation) Known() bool {
+	return !o.Sent.IsZero()
 }
 
 // Silent returns how long the instance has owed an answer.
-func (s Observation) Silent(now time.Time) time.Duration {
-	if s.UnansweredSince.IsZero() {
+func (o Observation) Silent(now time.Time) time.Duration {
+	if o.UnansweredSince.IsZero() {
 		return 0
 	}
-	return max(0, now.Sub(s.UnansweredSince))
+	return max(0, now.Sub(o.UnansweredSince))
 }
 
-// Serves reports whether the status is that of a primary that no promotion has
+// IsUnfencedPrimary reports whether the status is that of a primary that no promotion has
 // fenced: the last entry of a primary is of its own term.
-func (s Observation) Serves() bool {
-	return s.Known() && s.Status.Role == fleet.RolePrimary && s.Status.Promised == s.Status.Last.Term
+func (o Observation) IsUnfencedPrimary() bool {
+	return o.Known() && o.Status.Role == fleet.RolePrimary && o.Status.Promised == o.Status.Last.Term
 }
 
-// latencyWeight is the part of the latest answer in the moving average: about
+// latencyDivisor is the part of the latest answer in the moving average: about
 // eight answers decide it, under a second at the pace of a busy group.
-const latencyWeight = 8
+const latencyDivisor = 8
 
-func (s *Observation) ask(now time.Time) {
-	s.asked++
-	if s.UnansweredSince.IsZero() {
-		s.UnansweredSince = now
+func (o *Observation) requestSent(now time.Time) {
+	o.pendingRequests++
+	if o.UnansweredSince.IsZero() {
+		o.UnansweredSince = now
 	}
 }
 
-func (s *Observation) hear(now time.Time) {
-	s.asked = max(0, s.asked-1)
-	s.Heard = now
-	s.Refusing = false
-	s.UnansweredSince = time.Time{}
-	if s.asked > 0 {
-		s.UnansweredSince = now
+func (o *Observation) answerReceived(now time.Time) {
+	o.pendingRequests = max(0, o.pendingRequests-1)
+	o.Heard = now
+	o.Refusing = false
+	o.UnansweredSince = time.Time{}
+	if o.pendingRequests > 0 {
+		o.UnansweredSince = now
 	}
 }
 
-func (s *Observation) answer(sent, now time.Time, st fleet.Status) {
-	s.hear(now)
+func (o *Observation) statusReceived(sent, now time.Time, st fleet.Status) {
+	o.answerReceived(now)
 	took := now.Sub(sent)
-	if s.Latency == 0 {
-		s.Latency = took
+	if o.Latency == 0 {
+		o.Latency = took
 	}
-	s.Latency += (took - s.Latency) / latencyWeight
-	s.learn(sent, now, st)
+	o.Latency += (took - o.Latency) / latencyDivisor
+	o.updateStatus(sent, now, st)
 }
 
-func (s *Observation) learn(sent, now time.Time, st fleet.Status) {
+func (o *Observation) updateStatus(sent, now time.Time, st fleet.Status) {
 	// An answer that comes in after that of a later question tells less than
 	// what is known already.
-	if sent.Before(s.Sent) {
+	if sent.Before(o.Sent) {
 		return
 	}
-	if st.Last != s.Status.Last || s.LogMovedAt.IsZero() {
-		s.LogMovedAt = now
+	if st.Last != o.Status.Last || o.LogMovedAt.IsZero() {
+		o.LogMovedAt = now
 	}
-	if st.Promised != s.Status.Promised || s.TermRaisedAt.IsZero() {
-		s.TermRaisedAt = now
+	if st.Promised != o.Status.Promised || o.TermRaisedAt.IsZero() {
+		o.TermRaisedAt = now
 	}
-	s.Status, s.Sent = st, sent
+	o.Status, o.Sent = st, sent
 }
 
-func (s *Observation) fail(refused bool) {
-	s.asked = max(0, s.asked-1)
-	s.Refusing = refused
+func (o *Observation) requestFailed(refused bool) {
+	o.pendingRequests = max(0, o.pendingRequests-1)
+	o.Refusing = refused
 }
 
-// lagWeight makes the estimate of the lag follow a fall over some eight answers;
+// lagDivisor makes the estimate of the lag follow a fall over some eight answers;
 // it follows a rise at once.
-const lagWeight = 8
+const lagDivisor = 8
 
-// copied takes what the entries that have just got here took: a log that ended at
+// updateUsualLag takes what the entries that have just got here took: a log that ended at
 // last was known to miss something since then.
-func (s *Observation) copied(last fleet.LogPosition, h History) {
+func (o *Observation) updateUsualLag(previousLast fleet.LogPosition, h History) {
 	// What a change of primary took is no lag of the replica.
-	if s.Status.Last == last || s.Status.Last.Term != last.Term {
+	if o.Status.Last == previousLast || o.Status.Last.Term != previousLast.Term {
 		return
 	}
-	asOf, ok := h.Missing(last)
+	asOf, ok := h.MissingSince(previousLast)
 	if !ok {
 		return
 	}
-	took := max(finest, s.Heard.Sub(asOf))
-	if took > s.UsualLag {
-		s.UsualLag = took
+	took := max(minProofGap, o.Heard.Sub(asOf))
+	if took > o.UsualLag {
+		o.UsualLag = took
 		return
 	}
-	s.UsualLag -= (s.UsualLag - took) / lagWeight
+	o.UsualLag -= (o.UsualLag - took) / lagDivisor
 }
 
-// lag takes the age of the first thing that the log is known to miss for the
+// updateLag takes the age of the first thing that the log is known to miss for the
 // time that an entry takes to get there.
-func (s *Observation) lag(h History) {
-	var l time.Duration
-	if asOf, ok := h.Missing(s.Status.Last); ok {
-		l = max(0, s.Sent.Sub(asOf))
+func (o *Observation) updateLag(h History) {
+	var lag time.Duration
+	if asOf, ok := h.MissingSince(o.Status.Last); ok {
+		lag = max(0, o.Sent.Sub(asOf))
 	}
-	if l > s.Lag {
-		s.Lag = l
+	if lag > o.Lag {
+		o.Lag = lag
 		return
 	}
-	s.Lag -= (s.Lag - l) / lagWeight
+	o.Lag -= (o.Lag - lag) / lagDivisor
 }
--- a/core/group/promotion.go
+++ b/core/group/promotion.go
@@ -40,14 +40,14 @@
 	PhaseFailed  Phase = "failed"
 )
 
-// grace is how long a promotion waits for more than a majority to be fenced.
+// extraFenceWait is how long a promotion waits for more than a majority to be fenced.
 // With acknowledge = primary the further instance may hold writes that the
 // majority lacks; three round trips at 1 ms links leave room for jitter.
-const grace = 20 * time.Millisecond
+const extraFenceWait = 20 * time.Millisecond
 
-// attemptLimit ends a promotion whose answers are lost, so that the next one
+// promotionTimeout ends a promotion whose answers are lost, so that the next one
 // can start in a later term.
-const attemptLimit = 2 * time.Second
+const promotionTimeout = 2 * time.Second
 
 // Promotion is one proposer's way through one change of primary: it fences a
 // majority of the instances at a new term, promotes the one of them with the
@@ -75,35 +75,35 @@
 // the whole fleet, as Proposer makes it.
 //
 // Instances in excluded are fenced but not promoted, such as those that leave.
-func Promote(now time.Time, t Snapshot, proposer fleet.Host,
+func Promote(now time.Time, s Snapshot, proposer fleet.Host,
 	excluded fleet.Set[fleet.Instance]) (*Promotion, []Command) {
 	p := &Promotion{
-		Term:     nextTerm(t),
+		Term:     nextTerm(s),
 		Proposer: proposer,
 		Phase:    PhaseFence,
-		rules:    t.Rules,
+		rules:    s.Rules,
 		started:  now,
 		excluded: excluded,
 		fenced:   make(map[fleet.Instance]fleet.Status),
 		refused:  fleet.NewSet[fleet.Instance](),
 	}
-	orders := make([]Command, 0, len(t.Observations))
-	for _, s := range t.Observations {
-		p.members = append(p.members, s.Instance)
-		orders = append(orders, p.order(ActFence, s.Instance.Name))
+	commands := make([]Command, 0, len(s.Observations))
+	for _, o := range s.Observations {
+		p.members = append(p.members, o.Instance)
+		commands = append(commands, p.command(ActFence, o.Instance.Name))
 	}
-	return p, orders
+	return p, commands
 }
 
-func nextTerm(t Snapshot) fleet.Term {
+func nextTerm(s Snapshot) fleet.Term {
 	var n fleet.Term
-	for _, s := range t.Observations {
-		n = max(n, s.Status.Promised, s.Status.Last.Term)
+	for _, o := range s.Observations {
+		n = max(n, o.Status.Promised, o.Status.Last.Term)
 	}
 	return n + 1
 }
 
-func (p *Promotion) order(a Act, n fleet.Instance) Command {
+func (p *Promotion) command(a Act, n fleet.Instance) Command {
 	return Command{Act: a, Instance: n, Term: p.Term, Proposer: p.Proposer}
 }
 
@@ -114,22 +114,22 @@
 
 // Done takes up an instance's answer to an order and returns what to do next.
 // Answers to another promotion's orders are passed over.
-func (p *Promotion) Done(now time.Time, o Command, st fleet.Status, err error) []Command {
-	if p.Ended() || o.Term != p.Term || o.Proposer != p.Proposer {
+func (p *Promotion) Done(now time.Time, c Command, st fleet.Status, err error) []Command {
+	if p.Ended() || c.Term != p.Term || c.Proposer != p.Proposer {
 		return nil
 	}
-	if o.Act == ActPromote {
-		return p.promoted(st, err)
+	if c.Act == ActPromote {
+		return p.handlePromoteAnswer(st, err)
 	}
-	if o.Act != ActFence || p.Phase != PhaseFence {
+	if c.Act != ActFence || p.Phase != PhaseFence {
 		return nil
 	}
 	if !p.rules.fenced(st, err, p.Term) {
-		p.refused.Add(o.Instance)
+		p.refused.Add(c.Instance)
 	} else {
-		p.fenced[o.Instance] = st
+		p.fenced[c.Instance] = st
 	}
-	return p.choose(now)
+	return p.selectTarget(now)
 }
 
 // Tick ends the wait for further instances, and a promotion that hangs.
@@ -137,14 +137,14 @@
 	if p.Ended() {
 		return nil
 	}
-	if now.Sub(p.started) > attemptLimit {
+	if now.Sub(p.started) > promotionTimeout {
 		p.Phase, p.Reason = PhaseFailed, "answers are missing"
 		return nil
 	}
-	return p.choose(now)
+	return p.selectTarget(now)
 }
 
-func (p *Promotion) choose(now time.Time) []Command {
+func (p *Promotion) selectTarget(now time.Time) []Command {
 	if p.Phase != PhaseFence {
 		return nil
 	}
@@ -154,7 +154,7 @@
 		return nil
 	}
 	all := len(p.fenced)+len(p.refused) == len(p.members)
-	if len(p.fenced) < need || !all && now.Sub(p.started) < grace {
+	if len(p.fenced) < need || !all && now.Sub(p.started) < extraFenceWait {
 		return nil
 	}
 	from, ok := p.candidates()
@@ -165,8 +165,8 @@
 		p.Phase, p.Reason = PhaseFailed, "no instance that is fenced may be promoted"
 		return nil
 	}
-	p.Phase, p.Target = PhasePromote, p.rules.highest(from, p.names())
-	return []Command{p.order(ActPromote, p.Target)}
+	p.Phase, p.Target = PhasePromote, p.rules.mostAdvanced(from, p.memberNames())
+	return []Command{p.command(ActPromote, p.Target)}
 }
 
 // candidates returns the fenced instances that may be promoted, and whether
@@ -180,7 +180,7 @@
 	return out, len(out) >= p.rules.majority(len(p.members))
 }
 
-func (p *Promotion) promoted(st fleet.Status, err error) []Command {
+func (p *Promotion) handlePromoteAnswer(st fleet.Status, err error) []Command {
 	if p.Phase != PhasePromote {
 		return nil
 	}
@@ -189,10 +189,10 @@
 		return nil
 	}
 	p.Phase = PhaseDone
-	return p.point()
+	return p.followCommands()
 }
 
-func (p *Promotion) names() []fleet.Instance {
+func (p *Promotion) memberNames() []fleet.Instance {
 	out := make([]fleet.Instance, 0, len(p.members))
 	for _, m := range p.members {
 		out = append(out, m.Name)
@@ -200,10 +200,10 @@
 	return out
 }
 
-// point has all others follow the new primary. Those that don't get the order
+// followCommands has all others follow the new primary. Those that don't get the order
 // are left to Repair.
-func (p *Promotion) point() []Command {
-	var orders []Command
+func (p *Promotion) followCommands() []Command {
+	var commands []Command
 	var address string
 	for _, m := range p.members {
 		if m.Name == p.Target {
@@ -212,36 +212,36 @@
 	}
 	for _, m := range p.members {
 		if m.Name != p.Target {
-			orders = append(orders, Command{
+			commands = append(commands, Command{
 				Act: ActFollow, Instance: m.Name, Term: p.Term, Primary: p.Target, Address: address,
 			})
 		}
 	}
-	return orders
+	return commands
 }
 
 // Repair returns the orders that make replicas of all instances that don't
 // follow the primary: those that a promotion has left out, and the former
 // primary once it is back. An instance that has promised a later term is left
 // alone, since it would refuse.
-func Repair(t Snapshot) []Command {
-	p, ok := t.Find(t.Primary)
+func Repair(s Snapshot) []Command {
+	primary, ok := s.Find(s.Primary)
 	if !ok {
 		return nil
 	}
-	var orders []Command
-	for _, s := range t.Observations {
-		if !s.Known() || s.Instance.Name == t.Primary || s.Status.Promised > t.Term {
+	var commands []Command
+	for _, o := range s.Observations {
+		if !o.Known() || o.Instance.Name == s.Primary || o.Status.Promised > s.Term {
 			continue
 		}
-		st := s.Status
-		if st.Role == fleet.RoleReplica && st.Follows == t.Primary && st.Promised == t.Term {
+		st := o.Status
+		if st.Role == fleet.RoleReplica && st.Follows == s.Primary && st.Promised == s.Term {
 			continue
 		}
-		orders = append(orders, Command{
-			Act: ActFollow, Instance: s.Instance.Name, Term: t.Term,
-			Primary: t.Primary, Address: p.Instance.Address,
+		commands = append(commands, Command{
+			Act: ActFollow, Instance: o.Instance.Name, Term: s.Term,
+			Primary: s.Primary, Address: primary.Instance.Address,
 		})
 	}
-	return orders
+	return commands
 }
--- a/core/group/proof.go
+++ b/core/group/proof.go
@@ -27,18 +27,18 @@
 // promotion fences a majority first, so a majority that is still at the write's
 // term after the commit shares an instance with any later promotion, and that
 // instance brings the write along. See docs/design/failover.md.
-func (t Snapshot) Acknowledge(rule document.Acknowledge, w fleet.LogPosition, since time.Time) Verdict {
-	need := t.Rules.majority(len(t.Observations))
-	var holds, replaced int
-	for _, s := range t.Observations {
-		if s.Known() && s.Status.Promised > w.Term {
+func (s Snapshot) Acknowledge(rule document.Acknowledge, write fleet.LogPosition, since time.Time) Verdict {
+	need := s.Rules.majority(len(s.Observations))
+	var confirmed, replaced int
+	for _, o := range s.Observations {
+		if o.Known() && o.Status.Promised > write.Term {
 			replaced++
 		}
-		if t.Rules.unfenced(s, w.Term, since) && (rule == document.AcknowledgePrimary || t.Rules.holds(s, w)) {
-			holds++
+		if s.Rules.unfenced(o, write.Term, since) && (rule == document.AcknowledgePrimary || s.Rules.hasEntry(o, write)) {
+			confirmed++
 		}
 	}
-	if holds >= need {
+	if confirmed >= need {
 		return VerdictAcknowledge
 	}
 	if replaced >= need {
@@ -60,32 +60,32 @@
 //
 // It counts from when the questions were sent. Counting from the answers would
 // call data fresh that is as old as the answer took to arrive.
-func (t Snapshot) Prove() (Proof, bool) {
-	p, ok := t.Find(t.Primary)
+func (s Snapshot) Prove() (Proof, bool) {
+	primary, ok := s.Find(s.Primary)
 	if !ok {
 		return Proof{}, false
 	}
-	asOf, ok := t.FencedSince(t.Term)
+	asOf, ok := s.FencedSince(s.Term)
 	if !ok {
 		return Proof{}, false
 	}
-	if p.Sent.Before(asOf) {
-		asOf = p.Sent
+	if primary.Sent.Before(asOf) {
+		asOf = primary.Sent
 	}
-	return Proof{Position: p.Status.Last, AsOf: asOf}, true
+	return Proof{Position: primary.Status.Last, AsOf: asOf}, true
 }
 
 // FencedSince returns the latest moment up to which the statuses show that no
 // primary of a term after n was promoted, and false when they show none: the
 // earliest question of the latest majority that was at n.
-func (t Snapshot) FencedSince(n fleet.Term) (time.Time, bool) {
+func (s Snapshot) FencedSince(term fleet.Term) (time.Time, bool) {
 	var sent []time.Time
-	for _, s := range t.Observations {
-		if t.Rules.unfenced(s, n, time.Time{}) {
-			sent = append(sent, s.Sent)
+	for _, o := range s.Observations {
+		if s.Rules.unfenced(o, term, time.Time{}) {
+			sent = append(sent, o.Sent)
 		}
 	}
-	need := t.Rules.majority(len(t.Observations))
+	need := s.Rules.majority(len(s.Observations))
 	if len(sent) < need {
 		return time.Time{}, false
 	}
@@ -93,23 +93,23 @@
 	return sent[need-1], true
 }
 
-// leader returns the index of the instance that serves as the primary in the
+// primaryIndex returns the index of the instance that serves as the primary in the
 // highest term, unless a majority is known to have gone on to a later term.
-func leader(seen []Observation) (int, bool) {
+func primaryIndex(observations []Observation) (int, bool) {
 	best := -1
-	for i, s := range seen {
-		if s.Serves() && (best < 0 || seen[best].Status.Last.Term < s.Status.Last.Term) {
+	for i, o := range observations {
+		if o.IsUnfencedPrimary() && (best < 0 || observations[best].Status.Last.Term < o.Status.Last.Term) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return 0, false
 	}
-	var beyond int
-	for _, s := range seen {
-		if s.Known() && s.Status.Promised > seen[best].Status.Last.Term {
-			beyond++
+	var later int
+	for _, o := range observations {
+		if o.Known() && o.Status.Promised > observations[best].Status.Last.Term {
+			later++
 		}
 	}
-	return best, beyond < Majority(len(seen))
+	return best, later < Majority(len(observations))
 }
--- a/core/group/rules.go
+++ b/core/group/rules.go
@@ -28,22 +28,22 @@
 
 // Unfenced reports whether the instance was asked at or after since and had
 // then promised no term but t.
-func Unfenced(s Observation, t fleet.Term, since time.Time) bool {
-	return s.Known() && !s.Sent.Before(since) && s.Status.Promised == t
+func Unfenced(o Observation, term fleet.Term, since time.Time) bool {
+	return o.Known() && !o.Sent.Before(since) && o.Status.Promised == term
 }
 
 // HasEntry reports whether the instance's log has the entry at w. An entry of a
 // later term in a log doesn't tell that the log has w: it has to be counted for
 // an instance that was Unfenced at w's term in the same status.
-func HasEntry(s Observation, w fleet.LogPosition) bool {
-	return s.Status.Last.Covers(w)
+func HasEntry(o Observation, write fleet.LogPosition) bool {
+	return o.Status.Last.Covers(write)
 }
 
 // Fenced reports whether an instance that answered a fence with st or err has
 // promised t to the asker, so that its log can't grow by an entry of an earlier
 // term and no one else can promote in t.
-func Fenced(st fleet.Status, err error, t fleet.Term) bool {
-	return err == nil && st.Promised == t
+func Fenced(st fleet.Status, err error, term fleet.Term) bool {
+	return err == nil && st.Promised == term
 }
 
 // Proposer names one promotion of one process of a host. An instance promises
@@ -74,28 +74,28 @@
 	return Majority(n)
 }
 
-func (r Rules) unfenced(s Observation, t fleet.Term, since time.Time) bool {
+func (r Rules) unfenced(o Observation, term fleet.Term, since time.Time) bool {
 	if r.Unfenced != nil {
-		return r.Unfenced(s, t, since)
+		return r.Unfenced(o, term, since)
 	}
-	return Unfenced(s, t, since)
+	return Unfenced(o, term, since)
 }
 
-func (r Rules) holds(s Observation, w fleet.LogPosition) bool {
+func (r Rules) hasEntry(o Observation, write fleet.LogPosition) bool {
 	if r.HasEntry != nil {
-		return r.HasEntry(s, w)
+		return r.HasEntry(o, write)
 	}
-	return HasEntry(s, w)
+	return HasEntry(o, write)
 }
 
-func (r Rules) fenced(st fleet.Status, err error, t fleet.Term) bool {
+func (r Rules) fenced(st fleet.Status, err error, term fleet.Term) bool {
 	if r.Fenced != nil {
-		return r.Fenced(st, err, t)
+		return r.Fenced(st, err, term)
 	}
-	return Fenced(st, err, t)
+	return Fenced(st, err, term)
 }
 
-func (r Rules) highest(fenced map[fleet.Instance]fleet.Status, members []fleet.Instance) fleet.Instance {
+func (r Rules) mostAdvanced(fenced map[fleet.Instance]fleet.Status, members []fleet.Instance) fleet.Instance {
 	if r.MostAdvanced != nil {
 		return r.MostAdvanced(fenced, members)
 	}
--- a/core/group/view.go
+++ b/core/group/view.go
@@ -27,21 +27,21 @@
 	Role   fleet.Role        `json:"role"`
 }
 
-// viewFresh is how old an answer may be for a host to say that it reaches an
+// maxViewAge is how old an answer may be for a host to say that it reaches an
 // instance. A host that hasn't asked for longer says neither, and asks.
-const viewFresh = 400 * time.Millisecond
+const maxViewAge = 400 * time.Millisecond
 
 // Views returns how this host sees the instances, for another that asks.
-func (p Policy) Views(t Snapshot, now time.Time) []InstanceView {
-	out := make([]InstanceView, 0, len(t.Observations))
-	for _, s := range t.Observations {
+func (p Policy) Views(s Snapshot, now time.Time) []InstanceView {
+	out := make([]InstanceView, 0, len(s.Observations))
+	for _, o := range s.Observations {
 		out = append(out, InstanceView{
-			Instance:  s.Instance.Name,
-			Reachable: s.Known() && now.Sub(s.Sent) < viewFresh && !p.ShouldAskPeers(s, now),
-			Silent:    s.Silent(now),
-			Term:      s.Status.Promised,
-			Last:      s.Status.Last,
-			Role:      s.Status.Role,
+			Instance:  o.Instance.Name,
+			Reachable: o.Known() && now.Sub(o.Sent) < maxViewAge && !p.ShouldAskPeers(o, now),
+			Silent:    o.Silent(now),
+			Term:      o.Status.Promised,
+			Last:      o.Status.Last,
+			Role:      o.Status.Role,
 		})
 	}
 	return out
--- a/core/group/world_check_test.go
+++ b/core/group/world_check_test.go
@@ -10,26 +10,26 @@
 )
 
 // settle answers the callers whose proofs are there.
-func (w *world) settle() error {
-	for _, h := range w.hosts {
-		t := h.group.Snapshot(w.now)
-		var left []write
-		for _, x := range h.writes {
-			switch t.Acknowledge(w.rule, x.point, x.since) {
+func (m *model) answerCallers() error {
+	for _, h := range m.hosts {
+		s := h.group.Snapshot(m.now)
+		var waiting []write
+		for _, w := range h.writes {
+			switch s.Acknowledge(m.acknowledge, w.position, w.receivedAt) {
 			case group.VerdictAcknowledge:
-				w.stats["acknowledged"]++
-				if err := w.replaced(x); err != nil {
+				m.stats["acknowledged"]++
+				if err := m.checkNotReplaced(w); err != nil {
 					return err
 				}
-				w.acked = append(w.acked, &acked{write: x, at: w.now})
+				m.acknowledged = append(m.acknowledged, &acknowledgedWrite{write: w, acknowledgedAt: m.now})
 			case group.VerdictWait:
-				left = append(left, x)
+				waiting = append(waiting, w)
 			case group.VerdictReplaced:
-				w.stats["unknown"]++
+				m.stats["unknown"]++
 			}
 		}
-		h.writes = left
-		if err := w.settleReads(h, t); err != nil {
+		h.writes = waiting
+		if err := m.answerReads(h, s); err != nil {
 			return err
 		}
 	}
@@ -37,76 +37,76 @@
 }
 
 // replaced checks that no later primary was there when the write committed.
-func (w *world) replaced(x write) error {
-	for t, at := range w.since {
-		if t > x.point.Term && at.Before(x.since) {
-			return fmt.Errorf("write %v of a primary that term %d had replaced is acknowledged", x.point, t)
+func (m *model) checkNotReplaced(w write) error {
+	for term, since := range m.primarySince {
+		if term > w.position.Term && since.Before(w.receivedAt) {
+			return fmt.Errorf("write %v of a primary that term %d had replaced is acknowledged", w.position, term)
 		}
 	}
 	return nil
 }
 
-func (w *world) settleReads(h *host, t group.Snapshot) error {
-	var left []*read
+func (m *model) answerReads(h *host, s group.Snapshot) error {
+	var waiting []*read
 	for _, r := range h.reads {
-		if p, ok := t.Prove(); ok {
+		if p, ok := s.Prove(); ok {
 			r.need = r.need.Resolve(p)
 		}
-		if !r.got || !r.need.Satisfied(r.answer, w.now, t) {
-			left = append(left, r)
+		if !r.answered || !r.need.Satisfied(r.answer, m.now, s) {
+			waiting = append(waiting, r)
 			continue
 		}
-		w.stats["read by "+string(r.answer.Role)]++
-		if err := w.stale(r); err != nil {
+		m.stats["read by "+string(r.answer.Role)]++
+		if err := m.checkFresh(r); err != nil {
 			return err
 		}
 	}
-	h.reads = left
+	h.reads = waiting
 	return nil
 }
 
 // stale checks that a read's answer has all that had been acknowledged when the
 // read came in, or by the age that it accepts.
-func (w *world) stale(r *read) error {
-	if r.own != nil {
-		if !r.own.lost && !contains(r.log, r.own.write) {
-			return fmt.Errorf("read at %v by a %s misses its own %v", r.answer.Position, r.answer.Role, r.own.point)
+func (m *model) checkFresh(r *read) error {
+	if r.ownWrite != nil {
+		if !r.ownWrite.lost && !hasWrite(r.log, r.ownWrite.write) {
+			return fmt.Errorf("read at %v by a %s misses its own %v", r.answer.Position, r.answer.Role, r.ownWrite.position)
 		}
 		return nil
 	}
 	bound := r.need.Arrived
 	if r.need.MaxAge > 0 {
-		bound = w.now.Add(-r.need.MaxAge)
+		bound = m.now.Add(-r.need.MaxAge)
 	}
-	for _, a := range w.acked {
-		if !a.lost && a.at.Before(bound) && !contains(r.log, a.write) {
-			return fmt.Errorf("read at %v by a %s misses %v", r.answer.Position, r.answer.Role, a.point)
+	for _, a := range m.acknowledged {
+		if !a.lost && a.acknowledgedAt.Before(bound) && !hasWrite(r.log, a.write) {
+			return fmt.Errorf("read at %v by a %s misses %v", r.answer.Position, r.answer.Role, a.position)
 		}
 	}
 	return nil
 }
 
-func contains(log []grouptest.Entry, x write) bool {
-	i := int(x.point.Index) - 1
-	return i < len(log) && log[i] == grouptest.Entry{Term: x.point.Term, Value: x.value}
+func hasWrite(log []grouptest.Entry, w write) bool {
+	i := int(w.position.Index) - 1
+	return i < len(log) && log[i] == grouptest.Entry{Term: w.position.Term, Value: w.value}
 }
 
 // check checks that a term has one primary, which has every write that was
 // acknowledged in an earlier term.
-func (w *world) check() error {
-	for _, i := range w.instances {
+func (m *model) checkPrimaries() error {
+	for _, i := range m.instances {
 		if i.Role != fleet.RolePrimary {
 			continue
 		}
-		t := i.Last().Term
-		if p, ok := w.primaries[t]; ok && p != i.Name {
-			return fmt.Errorf("term %d has two primaries, %s and %s", t, p, i.Name)
+		term := i.Last().Term
+		if p, ok := m.primaries[term]; ok && p != i.Name {
+			return fmt.Errorf("term %d has two primaries, %s and %s", term, p, i.Name)
 		}
-		if _, ok := w.since[t]; !ok {
-			w.primaries[t], w.since[t] = i.Name, w.now
-			w.stats["promoted"]++
+		if _, ok := m.primarySince[term]; !ok {
+			m.primaries[term], m.primarySince[term] = i.Name, m.now
+			m.stats["promoted"]++
 		}
-		if err := w.inherits(i, t); err != nil {
+		if err := m.checkInherited(i, term); err != nil {
 			return err
 		}
 	}
@@ -115,16 +115,16 @@
 
 // inherits checks that the primary of t has the writes that were acknowledged
 // in earlier terms. With acknowledge = primary a promotion may lose them.
-func (w *world) inherits(i *grouptest.Instance, t fleet.Term) error {
-	for _, a := range w.acked {
-		if a.lost || a.point.Term >= t || contains(i.Log, a.write) {
+func (m *model) checkInherited(i *grouptest.Instance, term fleet.Term) error {
+	for _, a := range m.acknowledged {
+		if a.lost || a.position.Term >= term || hasWrite(i.Log, a.write) {
 			continue
 		}
-		if w.rule == document.AcknowledgeReplicated {
-			return fmt.Errorf("primary %s of term %d lacks the acknowledged write %v", i.Name, t, a.point)
+		if m.acknowledge == document.AcknowledgeReplicated {
+			return fmt.Errorf("primary %s of term %d lacks the acknowledged write %v", i.Name, term, a.position)
 		}
 		a.lost = true
-		w.stats["lost"]++
+		m.stats["lost"]++
 	}
 	return nil
 }
--- a/core/group/world_test.go
+++ b/core/group/world_test.go
@@ -16,27 +16,27 @@
 // world is a model of a group, of the hosts before it and of the network in
 // between: messages that are lost, late and crossed, links that are cut, hosts
 // that restart, instances that die and come back, replicas that lag.
-type world struct {
-	rules    group.Rules
-	rule     document.Acknowledge
-	proposer func(h *host) fleet.Host
+type model struct {
+	rules       group.Rules
+	acknowledge document.Acknowledge
+	proposer    func(h *host) fleet.Host
 	// stamp returns when a status counts as asked.
-	stamp func(sent, heard time.Time) time.Time
-
-	now       time.Time
-	instances []*grouptest.Instance
-	down      map[fleet.Instance]bool
-	hosts     []*host
-	cut       map[link]bool
-	net       []message
-	written   int
+	askedAt func(sent, heard time.Time) time.Time
+
+	now        time.Time
+	instances  []*grouptest.Instance
+	down       map[fleet.Instance]bool
+	hosts      []*host
+	cut        map[link]bool
+	inFlight   []message
+	writeCount int
 	// session is the only caller if it is set.
-	session *roamer
+	session *roamingSession
 
-	acked     []*acked
-	primaries map[fleet.Term]fleet.Instance
-	since     map[fleet.Term]time.Time
-	stats     map[string]int
+	acknowledged []*acknowledgedWrite
+	primaries    map[fleet.Term]fleet.Instance
+	primarySince map[fleet.Term]time.Time
+	stats        map[string]int
 }
 
 type link struct {
@@ -55,23 +55,23 @@
 }
 
 type write struct {
-	point fleet.LogPosition
-	value string
-	since time.Time
+	position   fleet.LogPosition
+	value      string
+	receivedAt time.Time
 }
 
 type read struct {
-	need   session.Need
-	answer session.Answer
-	log    []grouptest.Entry
-	got    bool
+	need     session.Need
+	answer   session.Answer
+	log      []grouptest.Entry
+	answered bool
 	// own is the write whose token the read shows.
-	own *acked
+	ownWrite *acknowledgedWrite
 }
 
-type acked struct {
+type acknowledgedWrite struct {
 	write
-	at time.Time
+	acknowledgedAt time.Time
 	// lost is set when a later primary lacks the write.
 	lost bool
 }
@@ -79,10 +79,10 @@
 type messageKind string
 
 const (
-	messageStatus messageKind = "status"
-	messageWrite  messageKind = "write"
-	messageRead   messageKind = "read"
-	messageOrder  messageKind = "order"
+	messageStatus  messageKind = "status"
+	messageWrite   messageKind = "write"
+	messageRead    messageKind = "read"
+	messageCommand messageKind = "order"
 )
 
 // message is a request on its way, or its answer once answered is set.
@@ -92,61 +92,61 @@
 	epoch    uint64
 	sent     time.Time
 	answered bool
-	order    group.Command
+	command  group.Command
 	value    string
 	read     *read
 
-	status fleet.Status
-	point  fleet.LogPosition
-	role   fleet.Role
-	log    []grouptest.Entry
-	err    error
+	status   fleet.Status
+	position fleet.LogPosition
+	role     fleet.Role
+	log      []grouptest.Entry
+	err      error
 }
 
 // netRoom bounds the messages under way; the oldest is lost beyond it.
-const netRoom = 80
+const maxInFlight = 80
 
-func newWorld(instances, hosts int) *world {
+func newModel(instances, hosts int) *model {
 	names := []fleet.Instance{"a", "b", "c", "d", "e"}[:instances]
-	w := &world{
-		rule:      document.AcknowledgeReplicated,
-		now:       time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC),
-		instances: grouptest.New(names...),
-		down:      make(map[fleet.Instance]bool),
-		cut:       make(map[link]bool),
-		primaries: make(map[fleet.Term]fleet.Instance),
-		since:     make(map[fleet.Term]time.Time),
-		stats:     make(map[string]int),
-		stamp:     func(sent, _ time.Time) time.Time { return sent },
+	m := &model{
+		acknowledge:  document.AcknowledgeReplicated,
+		now:          time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC),
+		instances:    grouptest.New(names...),
+		down:         make(map[fleet.Instance]bool),
+		cut:          make(map[link]bool),
+		primaries:    make(map[fleet.Term]fleet.Instance),
+		primarySince: make(map[fleet.Term]time.Time),
+		stats:        make(map[string]int),
+		askedAt:      func(sent, _ time.Time) time.Time { return sent },
 		proposer: func(h *host) fleet.Host {
 			return group.Proposer(fleet.Host(fmt.Sprintf("h%d", h.index)), h.epoch, h.attempts)
 		},
 	}
 	for i := range hosts {
-		w.hosts = append(w.hosts, &host{index: i})
+		m.hosts = append(m.hosts, &host{index: i})
 	}
-	return w
+	return m
 }
 
 // start has the hosts take up the rules and the document.
-func (w *world) start() {
-	for _, h := range w.hosts {
-		w.restart(h)
+func (m *model) start() {
+	for _, h := range m.hosts {
+		m.restart(h)
 	}
 }
 
-func (w *world) restart(h *host) {
+func (m *model) restart(h *host) {
 	*h = host{index: h.index, epoch: h.epoch + 1}
-	h.group.Rules = w.rules
+	h.group.Rules = m.rules
 	var d []document.Instance
-	for _, i := range w.instances {
+	for _, i := range m.instances {
 		d = append(d, document.Instance{Name: i.Name, Address: "127.0.0.1:1"})
 	}
-	h.group.Configure(w.now, d)
+	h.group.Configure(m.now, d)
 }
 
-func (w *world) find(n fleet.Instance) *grouptest.Instance {
-	for _, i := range w.instances {
+func (m *model) find(n fleet.Instance) *grouptest.Instance {
+	for _, i := range m.instances {
 		if i.Name == n {
 			return i
 		}
@@ -155,213 +155,213 @@
 }
 
 // step lets one thing happen, drawn by pick, which returns a number below n.
-func (w *world) step(pick func(n int) int) error {
-	w.now = w.now.Add(time.Millisecond)
-	h := w.hosts[pick(len(w.hosts))]
-	i := w.instances[pick(len(w.instances))]
+func (m *model) step(pick func(n int) int) error {
+	m.now = m.now.Add(time.Millisecond)
+	h := m.hosts[pick(len(m.hosts))]
+	i := m.instances[pick(len(m.instances))]
 	switch pick(20) {
 	case 0, 1, 2, 3, 4, 5, 6:
 		for range 1 + pick(8) {
-			w.deliver(pick)
+			m.deliver(pick)
 		}
 	case 7, 8:
-		w.replicate(i, 1+pick(8))
+		m.replicate(i, 1+pick(8))
 	case 9, 10, 11, 12:
-		w.askAll(h)
+		m.requestStatuses(h)
 	case 13, 14, 15, 16:
-		w.work(h, pick)
+		m.callerStep(h, pick)
 	case 17:
-		w.promote(h, pick(6) == 0)
-		w.repair(h)
+		m.promote(h, pick(6) == 0)
+		m.repair(h)
 	case 18:
-		w.lose(pick)
+		m.dropMessage(pick)
 	default:
-		w.fault(h, i, pick)
+		m.injectFault(h, i, pick)
 	}
-	if err := w.settle(); err != nil {
+	if err := m.answerCallers(); err != nil {
 		return err
 	}
-	return w.check()
+	return m.checkPrimaries()
 }
 
-func (w *world) fault(h *host, i *grouptest.Instance, pick func(n int) int) {
+func (m *model) injectFault(h *host, i *grouptest.Instance, pick func(n int) int) {
 	l := link{host: h.index, instance: i.Name}
 	switch pick(12) {
 	case 0:
-		w.restart(h)
+		m.restart(h)
 	case 1:
-		w.down[i.Name] = true
+		m.down[i.Name] = true
 	case 2, 3:
-		clear(w.down)
+		clear(m.down)
 	case 4:
-		w.cut[l] = true
+		m.cut[l] = true
 	case 5, 6:
-		clear(w.cut)
+		clear(m.cut)
 	case 7:
-		w.now = w.now.Add(time.Duration(pick(3000)) * time.Millisecond)
+		m.now = m.now.Add(time.Duration(pick(3000)) * time.Millisecond)
 	default:
 	}
 }
 
-func (w *world) send(h *host, n fleet.Instance, m message) {
-	m.link, m.epoch, m.sent = link{host: h.index, instance: n}, h.epoch, w.now
-	w.net = append(w.net, m)
-	if len(w.net) > netRoom {
-		w.net = slices.Delete(w.net, 0, 1)
+func (m *model) send(h *host, n fleet.Instance, msg message) {
+	msg.link, msg.epoch, msg.sent = link{host: h.index, instance: n}, h.epoch, m.now
+	m.inFlight = append(m.inFlight, msg)
+	if len(m.inFlight) > maxInFlight {
+		m.inFlight = slices.Delete(m.inFlight, 0, 1)
 	}
-	w.stats["sent "+string(m.kind)]++
+	m.stats["sent "+string(msg.kind)]++
 }
 
-func (w *world) askAll(h *host) {
-	for _, i := range w.instances {
-		h.group.StatusRequested(i.Name, w.now)
-		w.send(h, i.Name, message{kind: messageStatus})
+func (m *model) requestStatuses(h *host) {
+	for _, i := range m.instances {
+		h.group.StatusRequested(i.Name, m.now)
+		m.send(h, i.Name, message{kind: messageStatus})
 	}
 }
 
 // work has a caller write or read.
-func (w *world) work(h *host, pick func(n int) int) {
+func (m *model) callerStep(h *host, pick func(n int) int) {
 	switch {
-	case w.session != nil:
-		w.session.act(w, h, pick)
+	case m.session != nil:
+		m.session.step(m, h, pick)
 	case pick(2) == 0:
-		w.write(h)
+		m.startWrite(h)
 	default:
-		w.startRead(h, pick)
+		m.startRead(h, pick)
 	}
 }
 
-func (w *world) write(h *host) {
-	if p := h.group.Snapshot(w.now).Primary; p != "" {
-		w.written++
-		w.send(h, p, message{kind: messageWrite, value: fmt.Sprint(w.written)})
+func (m *model) startWrite(h *host) {
+	if p := h.group.Snapshot(m.now).Primary; p != "" {
+		m.writeCount++
+		m.send(h, p, message{kind: messageWrite, value: fmt.Sprint(m.writeCount)})
 	}
 }
 
-func (w *world) startRead(h *host, pick func(n int) int) {
+func (m *model) startRead(h *host, pick func(n int) int) {
 	q := &exchange.Request{Intent: exchange.IntentRead}
 	r := &read{}
 	switch pick(3) {
 	case 0:
 		q.MaxAge = time.Duration(1+pick(100)) * time.Millisecond
 	case 1:
-		if n := len(w.acked); n > 0 {
-			r.own = w.acked[pick(n)]
-			q.After = fleet.Some(r.own.point)
+		if n := len(m.acknowledged); n > 0 {
+			r.ownWrite = m.acknowledged[pick(n)]
+			q.After = fleet.Some(r.ownWrite.position)
 		}
 	default:
 	}
-	r.need = session.Needs(q, w.now)
+	r.need = session.Needs(q, m.now)
 	h.reads = append(h.reads, r)
-	w.send(h, w.instances[pick(len(w.instances))].Name, message{kind: messageRead, read: r})
+	m.send(h, m.instances[pick(len(m.instances))].Name, message{kind: messageRead, read: r})
 }
 
-func (w *world) promote(h *host, anew bool) {
-	if !anew && h.promotion != nil && !h.promotion.Ended() {
-		w.dispatch(h, h.promotion.Tick(w.now))
+func (m *model) promote(h *host, startNew bool) {
+	if !startNew && h.promotion != nil && !h.promotion.Ended() {
+		m.dispatch(h, h.promotion.Tick(m.now))
 		return
 	}
-	if !anew {
+	if !startNew {
 		return
 	}
 	h.attempts++
-	p, orders := group.Promote(w.now, h.group.Snapshot(w.now), w.proposer(h), nil)
-	h.promotion = p
-	w.dispatch(h, orders)
+	promotion, commands := group.Promote(m.now, h.group.Snapshot(m.now), m.proposer(h), nil)
+	h.promotion = promotion
+	m.dispatch(h, commands)
 }
 
-func (w *world) repair(h *host) {
-	w.dispatch(h, group.Repair(h.group.Snapshot(w.now)))
+func (m *model) repair(h *host) {
+	m.dispatch(h, group.Repair(h.group.Snapshot(m.now)))
 }
 
-func (w *world) dispatch(h *host, orders []group.Command) {
-	for _, o := range orders {
-		w.send(h, o.Instance, message{kind: messageOrder, order: o})
+func (m *model) dispatch(h *host, commands []group.Command) {
+	for _, c := range commands {
+		m.send(h, c.Instance, message{kind: messageCommand, command: c})
 	}
 }
 
-func (w *world) lose(pick func(n int) int) {
-	if len(w.net) > 0 {
-		i := pick(len(w.net))
-		w.net = slices.Delete(w.net, i, i+1)
+func (m *model) dropMessage(pick func(n int) int) {
+	if len(m.inFlight) > 0 {
+		i := pick(len(m.inFlight))
+		m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	}
 }
 
 // deliver delivers any message, so that answers arrive late and crossed.
-func (w *world) deliver(pick func(n int) int) {
-	if len(w.net) == 0 {
+func (m *model) deliver(pick func(n int) int) {
+	if len(m.inFlight) == 0 {
 		return
 	}
-	i := pick(len(w.net))
-	m := w.net[i]
-	w.net = slices.Delete(w.net, i, i+1)
-	if w.cut[m.link] {
+	i := pick(len(m.inFlight))
+	msg := m.inFlight[i]
+	m.inFlight = slices.Delete(m.inFlight, i, i+1)
+	if m.cut[msg.link] {
 		return
 	}
-	if m.answered {
-		w.hear(m)
+	if msg.answered {
+		m.receive(msg)
 		return
 	}
-	if n := w.find(m.link.instance); !w.down[n.Name] {
-		w.net = append(w.net, w.serve(n, m))
+	if instance := m.find(msg.link.instance); !m.down[instance.Name] {
+		m.inFlight = append(m.inFlight, m.handle(instance, msg))
 	}
 }
 
-func (w *world) serve(i *grouptest.Instance, m message) message {
-	m.answered = true
-	switch m.kind {
+func (m *model) handle(i *grouptest.Instance, msg message) message {
+	msg.answered = true
+	switch msg.kind {
 	case messageWrite:
-		m.point, m.err = i.Append(m.value)
+		msg.position, msg.err = i.Append(msg.value)
 	case messageRead:
-		m.point, m.role, m.log = i.Last(), i.Role, slices.Clone(i.Log)
-	case messageOrder:
-		m.err = w.carryOut(i, m.order)
+		msg.position, msg.role, msg.log = i.Last(), i.Role, slices.Clone(i.Log)
+	case messageCommand:
+		msg.err = m.execute(i, msg.command)
 	case messageStatus:
 	}
-	m.status = i.Status()
-	return m
+	msg.status = i.Status()
+	return msg
 }
 
-func (w *world) carryOut(i *grouptest.Instance, o group.Command) error {
-	switch o.Act {
+func (m *model) execute(i *grouptest.Instance, c group.Command) error {
+	switch c.Act {
 	case group.ActFence:
-		return i.Fence(o.Term, o.Proposer)
+		return i.Fence(c.Term, c.Proposer)
 	case group.ActPromote:
-		return i.Promote(o.Term, o.Proposer)
+		return i.Promote(c.Term, c.Proposer)
 	case group.ActFollow:
-		return i.Follow(o.Term, o.Primary)
+		return i.Follow(c.Term, c.Primary)
 	}
 	return nil
 }
 
-func (w *world) hear(m message) {
-	h := w.hosts[m.link.host]
-	if h.epoch != m.epoch {
+func (m *model) receive(msg message) {
+	h := m.hosts[msg.link.host]
+	if h.epoch != msg.epoch {
 		return
 	}
-	switch m.kind {
+	switch msg.kind {
 	case messageStatus:
-		h.group.StatusReceived(m.link.instance, w.stamp(m.sent, w.now), w.now, m.status)
+		h.group.StatusReceived(msg.link.instance, m.askedAt(msg.sent, m.now), m.now, msg.status)
 	case messageWrite:
-		if m.err == nil {
-			h.writes = append(h.writes, write{point: m.point, value: m.value, since: w.now})
+		if msg.err == nil {
+			h.writes = append(h.writes, write{position: msg.position, value: msg.value, receivedAt: m.now})
 		}
 	case messageRead:
-		m.read.answer = session.Answer{Position: m.point, Role: m.role}
-		m.read.log, m.read.got = m.log, true
-	case messageOrder:
+		msg.read.answer = session.Answer{Position: msg.position, Role: msg.role}
+		msg.read.log, msg.read.answered = msg.log, true
+	case messageCommand:
 		if h.promotion != nil {
-			w.dispatch(h, h.promotion.Done(w.now, m.order, m.status, m.err))
+			m.dispatch(h, h.promotion.Done(m.now, msg.command, msg.status, msg.err))
 		}
 	}
 }
 
-func (w *world) replicate(i *grouptest.Instance, n int) {
-	from := w.find(i.Follows)
-	if from == nil || w.down[i.Name] || w.down[from.Name] {
+func (m *model) replicate(i *grouptest.Instance, n int) {
+	from := m.find(i.Follows)
+	if from == nil || m.down[i.Name] || m.down[from.Name] {
 		return
 	}
 	if i.Copy(from, n) == nil {
-		w.stats["copied"]++
+		m.stats["copied"]++
 	}
 }
--- a/core/session/session.go
+++ b/core/session/session.go
@@ -40,9 +40,9 @@
 	// Arrived is when the read came in. It counts when neither of the others is
 	// set: the read then has to reflect all that was acknowledged until then.
 	Arrived time.Time
-	// fresh is set by Resolve: the term whose primary satisfies the read too,
+	// resolvedTerm is set by Resolve: the term whose primary satisfies the read too,
 	// whatever its point.
-	fresh fleet.Option[fleet.Term]
+	resolvedTerm fleet.Option[fleet.Term]
 }
 
 // Needs returns what the answer to q, which arrived at the given time, has to
@@ -64,7 +64,7 @@
 		return n
 	}
 	n.After = fleet.Some(p.Position)
-	n.fresh = fleet.Some(p.Position.Term)
+	n.resolvedTerm = fleet.Some(p.Position.Term)
 	return n
 }
 
@@ -75,40 +75,40 @@
 // or because a replaced primary on the far side of a cut still answers. The
 // point comes with the answer itself, so that a status of the instance that was
 // read earlier, later or on another connection can't vouch for it.
-func (n Need) Satisfied(a Answer, at time.Time, t group.Snapshot) bool {
-	if after, ok := n.After.Get(); ok && !a.Position.Covers(after) && !n.current(a) {
+func (n Need) Satisfied(a Answer, at time.Time, s group.Snapshot) bool {
+	if after, ok := n.After.Get(); ok && !a.Position.Covers(after) && !n.fromResolvedPrimary(a) {
 		return false
 	}
-	if n.MaxAge > 0 && !n.reflects(a, at.Add(-n.MaxAge), t) {
+	if n.MaxAge > 0 && !n.includesWritesBefore(a, at.Add(-n.MaxAge), s) {
 		return false
 	}
 	if n.Latest() {
-		return n.reflects(a, n.Arrived, t)
+		return n.includesWritesBefore(a, n.Arrived, s)
 	}
 	return true
 }
 
-// current reports whether the primary gave the answer to a read that Resolve
+// fromResolvedPrimary reports whether the primary gave the answer to a read that Resolve
 // has turned to a fresh point. The point was read after the read's arrival, but
 // maybe after the read's start at the primary too, and may lie beyond it.
-func (n Need) current(a Answer) bool {
-	t, ok := n.fresh.Get()
-	return ok && a.Role == fleet.RolePrimary && a.Position.Term == t
+func (n Need) fromResolvedPrimary(a Answer) bool {
+	term, ok := n.resolvedTerm.Get()
+	return ok && a.Role == fleet.RolePrimary && a.Position.Term == term
 }
 
-// reflects reports whether the answer has every write acknowledged before since:
+// includesWritesBefore reports whether the answer has every write acknowledged before since:
 // it covers the point of a proof made since, or it is that of a primary which a
 // majority has been at the term of since.
 //
 // A primary's answer is only known to be younger than its read. One that came
 // in late is older than the latest proof, which so can't vouch for it.
-func (n Need) reflects(a Answer, since time.Time, t group.Snapshot) bool {
-	if asOf, ok := t.History.Since(a.Position); ok && !asOf.Before(since) {
+func (n Need) includesWritesBefore(a Answer, since time.Time, s group.Snapshot) bool {
+	if asOf, ok := s.History.CompleteUntil(a.Position); ok && !asOf.Before(since) {
 		return true
 	}
 	if a.Role != fleet.RolePrimary || n.Arrived.Before(since) {
 		return false
 	}
-	asOf, ok := t.FencedSince(a.Position.Term)
+	asOf, ok := s.FencedSince(a.Position.Term)
 	return ok && !asOf.Before(since)
 }
