--- a/core/group/assess.go
+++ b/core/group/assess.go
@@ -8,36 +8,38 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Policy bounds when a primary counts as failed. The zero Policy has the
-// defaults.
+// Policy sets when a primary counts as failed. A zero duration stands for its
+// default.
 type Policy struct {
-	// SuspectAfter is how long a primary may owe an answer. It has to exceed
-	// the stalls of a healthy one: 600 ms bears a long garbage collection or a
-	// slow disk, and leaves a third of a second of the goal of one second for
-	// the rest of the failover.
+	// SuspectAfter is how long a primary may leave a status request unanswered before
+	// it is suspected. It has to exceed the stalls of a healthy primary: 600 ms
+	// tolerates a long garbage collection or a slow disk. Of the goal of one second
+	// it leaves a third of a second for the rest of the failover.
 	SuspectAfter time.Duration
-	// RefusedAfter applies when the primary's address refuses connections,
-	// which a slow primary doesn't. It bears a quick restart.
+	// RefusedAfter replaces SuspectAfter while the primary's address refuses
+	// connections, which that of a slow primary doesn't. It tolerates a quick restart.
 	RefusedAfter time.Duration
-	// SoleObserverAfter is how long the primary has to be silent when no second host
-	// or data centre can be asked: long enough for a short cut to heal first.
+	// SoleObserverAfter is how long the primary has to be silent before it is replaced
+	// if no second host or data centre can be asked. It is long enough for a short
+	// network partition to end first.
 	SoleObserverAfter time.Duration
-	// OutvoteAfter is how long the primary has to be silent to most of the
-	// group's hosts to be replaced although another host reaches it.
+	// OutvoteAfter is how long the primary has to be silent to most of the group's
+	// hosts before it is replaced although another host reaches it.
 	OutvoteAfter time.Duration
-	// AbandonedAfter is how long another host has to end the promotion that it
-	// has begun.
+	// AbandonedAfter is how long another host's promotion may take before it counts
+	// as abandoned.
 	AbandonedAfter time.Duration
-	// StallAfter is how long no replica may have copied anything, while the
-	// primary is ahead of them all, before the primary counts as cut off from
-	// them. It exceeds any lag at which writes could still be acknowledged.
+	// StallAfter is the maximum time for which the replicas may copy nothing while the
+	// primary is ahead of them, before the primary counts as cut off from them. It
+	// exceeds any lag at which writes could still be acknowledged. A shorter limit
+	// applies to replicas whose usual lag is known.
 	StallAfter time.Duration
-	// KeepStalled leaves such a primary in place. It is for acknowledge =
-	// primary, where a promotion would lose what it has acknowledged.
+	// KeepStalled leaves a primary in place that is cut off from its replicas. It is
+	// set for acknowledge = primary, where a promotion would lose writes that this
+	// primary has acknowledged.
 	KeepStalled bool
-	// LeaveAfter is how long a leaving primary's transactions have to end
-	// before it is replaced nevertheless; LeaveQuiet is how long its log has to
-	// stand still for them to count as ended.
+	// LeaveAfter is how long a leaving primary is kept for its transactions to end.
+	// LeaveQuiet is how long its log has to be unchanged for them to count as ended.
 	LeaveAfter time.Duration
 	LeaveQuiet time.Duration
 }
@@ -54,11 +56,11 @@
 	DefaultLeaveQuiet        = 300 * time.Millisecond
 )
 
-// slowLatencyFactor is how many times its usual latency a primary may owe an answer:
-// one that has been slow for a while is slow, not dead.
+// slowLatencyFactor is how many times its average latency a primary may leave a request
+// unanswered, so that a primary that has been slow for a while isn't suspected.
 const slowLatencyFactor = 4
 
-// maxSlowAllowance caps the allowance for a slow primary.
+// maxSlowAllowance limits the time that slowLatencyFactor gives a slow primary.
 const maxSlowAllowance = 1500 * time.Millisecond
 
 func orDefault(d, def time.Duration) time.Duration {
@@ -68,7 +70,7 @@
 	return d
 }
 
-// SilenceLimit returns how long s may owe an answer before it is suspected.
+// SilenceLimit returns how long o may leave a request unanswered before it is suspected.
 func (p Policy) SilenceLimit(o Observation) time.Duration {
 	limit := orDefault(p.SuspectAfter, DefaultSuspectAfter)
 	if o.Refusing {
@@ -77,14 +79,15 @@
 	return max(limit, min(slowLatencyFactor*o.Latency, maxSlowAllowance))
 }
 
-// Suspects reports whether s has owed an answer for longer than it may.
+// Suspects reports whether o has been silent for its SilenceLimit.
 func (p Policy) Suspects(o Observation, now time.Time) bool {
 	return o.Silent(now) >= p.SilenceLimit(o)
 }
 
-// ShouldAskPeers reports whether s has been silent for long enough to ask the other
-// hosts: a quarter of the time after which it is suspected, so that a host which
-// asks an idle group once a second has missed it for RefusedAfter by then.
+// ShouldAskPeers reports whether o has been silent for long enough to ask the other
+// hosts for their views: a quarter of SilenceLimit. Another host polls an idle group
+// only once a second until it is asked. It has then found o silent for RefusedAfter by
+// the time this host suspects o.
 func (p Policy) ShouldAskPeers(o Observation, now time.Time) bool {
 	return o.Silent(now) >= p.SilenceLimit(o)/4
 }
@@ -103,37 +106,39 @@
 	CauseLeaving      Cause = "leaving"
 )
 
-// Assessment is whether a promotion is due, and why or why not.
+// Assessment says whether a promotion is due, and why or why not.
 type Assessment struct {
+	// Cause is CauseNone if no promotion is due.
 	Cause  Cause
 	Reason string
-	// Rank is the place of this host among those that answer; zero goes first.
+	// Rank is the place of this host among those that answer; rank zero proposes first.
 	Rank int
 	// Excluded are the instances not to be promoted.
 	Excluded fleet.Set[fleet.Instance]
 }
 
-// Observer is one host's word on a primary.
+// Observer is a host that reports whether it reaches a primary.
 type Observer struct {
 	Host       fleet.Host
 	DataCentre fleet.DataCentre
 }
 
-// AssessPrimary decides whether the primary that t names, or the lack of one, calls for
-// a promotion. me is this host, views are the other hosts' latest, and order
-// ranks the hosts of the group, the preferred one first.
+// AssessPrimary decides whether the primary of s, or the lack of one, calls for a
+// promotion. self is this host, views are the latest views of the other hosts, and
+// preference lists the hosts of the group, the preferred proposer first.
 //
-// It guards against promoting because of one bad link, one paused host or one
-// data centre's cut: such a fault shows as a primary that is silent to one host
-// or data centre only. Two hosts have to miss it, in two data centres where the
-// instances have several, and any host that reaches it stops the promotion,
-// unless most of the group's hosts miss it for OutvoteAfter: a cut may leave the
-// primary with one host that reaches all others, and its word would keep the
-// group without a primary. When no other can be asked, SoleObserverAfter has to pass.
+// Guards against a promotion because of one bad link, one paused host or one data
+// centre that is cut off: the primary is then silent to one host or data centre only.
+// The primary has to be silent to two hosts, and to two data centres if the instances
+// are in several. Any host that reaches it stops the promotion, unless the primary is
+// silent to most of the group's hosts for OutvoteAfter: a network partition may leave
+// the primary with one host that reaches all others, and the view of that host would
+// keep the group without a primary. If no other host or data centre can be asked,
+// SoleObserverAfter has to pass.
 //
-// A host that doesn't reach a majority of the instances proposes nothing. It
-// would fence the few that it reaches again and again; once the cut heals, they
-// would refuse the primary that the others have, and force it out.
+// A host that doesn't reach a majority of the instances proposes nothing. It would
+// fence the few that it reaches again and again. Once the partition ends, these would
+// refuse the primary that the others follow, and so force its replacement.
 func AssessPrimary(
 	now time.Time, p Policy, s Snapshot, self Observer, views []View, preference []fleet.Host,
 ) Assessment {
@@ -146,31 +151,32 @@
 	primary, _ := s.Find(s.Primary)
 	if !p.Suspects(primary, now) {
 		a := p.assessAnswering(now, s, primary)
-		// No view is asked for while the primary answers.
+		// The other hosts aren't asked for views while the primary answers.
 		a.Rank = max(0, slices.Index(preference, self.Host))
 		return a
 	}
 	v, newer := p.countVotes(self, views, s)
 	if newer != "" {
-		return Assessment{Reason: fmt.Sprintf("host %s knows a later term", newer)}
+		return Assessment{Reason: fmt.Sprintf("host %s reaches a primary of a later term", newer)}
 	}
 	a := p.assessSilent(primary.Silent(now), v, s, len(preference))
 	a.Rank = rankAmongAnswering(self.Host, preference, views)
 	return a
 }
 
-// votes are the hosts that miss the primary and those that reach it.
+// votes are the hosts that can't reach the primary and those that can.
 type votes struct {
 	unreachableFrom []Observer
 	reachableFrom   []fleet.Host
 }
 
-// countVotes sorts the views, and returns the host that knows a later primary.
+// countVotes counts the views by whether their host reaches the primary. If a host
+// reaches a primary of a later term, it returns that host.
 //
-// The word of a host that reaches the primary but no majority counts for neither
-// side: it can confirm nothing of that primary, and were it heard, half a cut, with
-// the primary and one host on one side and the majority on the other, would stop all
-// writes for as long as it lasts.
+// A host that reaches the primary but no majority of the instances isn't counted. It
+// can't confirm a write of that primary. If it counted, a partition with the primary
+// and one host on one side and the majority on the other would stop all writes for as
+// long as it lasts.
 func (p Policy) countVotes(self Observer, views []View, s Snapshot) (votes, fleet.Host) {
 	v := votes{unreachableFrom: []Observer{self}}
 	for _, view := range views {
@@ -189,8 +195,8 @@
 	return v, ""
 }
 
-// assessSilent decides about a primary that is assessSilent to this host, of so many that
-// hold the group.
+// assessSilent decides about a primary that is silent to this host. hosts is the number
+// of hosts in the group.
 func (p Policy) assessSilent(silentFor time.Duration, v votes, s Snapshot, hosts int) Assessment {
 	enoughObservers := len(v.unreachableFrom) > 1 && (dataCentreCount(v.unreachableFrom) > 1 || !spansDataCentres(s))
 	a := Assessment{Reason: fmt.Sprintf("silent for %v, to %d of %d hosts",
@@ -252,9 +258,9 @@
 	return len(centres) > 1
 }
 
-// rankAmongAnswering counts the hosts ahead of me in order that have given a view. Whether
-// they agree yet doesn't matter: they will a moment later, and two hosts that
-// both took themselves for the first would fence each other out.
+// rankAmongAnswering returns the number of hosts before self in preference that have
+// given a view. A host counts even if its view doesn't call for a promotion yet, since
+// it soon will: two hosts that both ranked first would fence each other's promotions.
 func rankAmongAnswering(self fleet.Host, preference []fleet.Host, views []View) int {
 	var n int
 	for _, h := range preference {
--- a/core/group/assess_answering.go
+++ b/core/group/assess_answering.go
@@ -7,8 +7,8 @@
 	"skylarkdeal/core/fleet"
 )
 
-// assessAnswering finds a primary that answers but has to be replaced. What it goes by
-// are documents and logs, which look the same to every host.
+// assessAnswering decides about a primary that answers. It depends on documents and
+// logs only, which are the same for every host, and so needs no views.
 func (p Policy) assessAnswering(now time.Time, s Snapshot, primary Observation) Assessment {
 	if primary.Instance.Leaving {
 		return p.assessLeaving(now, s, primary)
@@ -19,20 +19,20 @@
 	return Assessment{}
 }
 
-// CanHandOver reports whether the primary can be replaced by an instance that
-// isn't leaving: those have to be a majority that answers.
+// CanHandOver reports whether the primary can be replaced by an instance that isn't
+// leaving: such instances that answer have to be a majority of all.
 func (s Snapshot) CanHandOver(now time.Time) bool {
 	return s.majorityAnswers(now, func(o Observation) bool { return !o.Instance.Leaving })
 }
 
-// HasQuorum reports whether a majority of the instances answers this host. With
-// fewer no write could be confirmed and no promotion could succeed.
+// HasQuorum reports whether a majority of the instances answers this host. Without
+// one no write can be confirmed and no promotion can succeed.
 func (s Snapshot) HasQuorum(now time.Time) bool {
 	return s.majorityAnswers(now, func(Observation) bool { return true })
 }
 
-// maxUnanswered is how long an instance may owe an answer and still count as
-// answering.
+// maxUnanswered is how long an instance may leave a request unanswered and still count
+// as answering.
 const maxUnanswered = DefaultRefusedAfter
 
 func (s Snapshot) majorityAnswers(now time.Time, matches func(o Observation) bool) bool {
@@ -45,13 +45,13 @@
 	return n >= s.Rules.majority(len(s.Observations))
 }
 
-// assessLeaving decides when a primary that is marked as assessLeaving hands over: once a
-// replica has all it has and its log stands still, so that transactions end in
-// peace, or when LeaveAfter is over. A busy transaction then fails as not run,
-// rather than that all others wait for it.
+// assessLeaving decides when a primary that is marked as leaving hands over. A replica
+// has to have all of the primary's log. The log also has to be unchanged for
+// LeaveQuiet, so that transactions can end, or LeaveAfter has to be over. A transaction
+// that is still running then fails as not run, so that no others wait for it.
 func (p Policy) assessLeaving(now time.Time, s Snapshot, primary Observation) Assessment {
 	if !s.CanHandOver(now) {
-		return Assessment{Reason: "the primary leaves, but too few others answer"}
+		return Assessment{Reason: "the primary is leaving, but too few other instances answer"}
 	}
 	excluded := fleet.NewSet[fleet.Instance]()
 	var copied bool
@@ -65,15 +65,15 @@
 	logQuiet := now.Sub(primary.LogMovedAt) >= orDefault(p.LeaveQuiet, DefaultLeaveQuiet)
 	timedOut := now.Sub(primary.LeavingSince) >= orDefault(p.LeaveAfter, DefaultLeaveAfter)
 	if !copied || !logQuiet && !timedOut {
-		return Assessment{Reason: "the primary leaves; its transactions end first"}
+		return Assessment{Reason: "the primary is leaving, its transactions have to end first"}
 	}
 	return Assessment{Cause: CauseLeaving, Reason: "the document marks the primary as leaving", Excluded: excluded}
 }
 
-// assessStalled finds a primary that has been ahead of its replicas for a while
-// without any of them copying anything: it answers the hosts but is cut off
-// from its replicas, shows as writes that all end as unknown, and would stay so
-// for as long as the cut lasts. Its replicas are a majority of their own.
+// assessStalled decides about a primary that is ahead of its replicas while they copy
+// nothing. Such a primary answers the hosts but is cut off from its replicas: all
+// writes end as unknown for as long as the cut lasts. It is replaced if the stalled
+// replicas are a majority without it.
 func (p Policy) assessStalled(now time.Time, s Snapshot, primary Observation) Assessment {
 	var stalled int
 	var longest time.Duration
@@ -100,17 +100,15 @@
 }
 
 // A replica counts as cut off from its primary once it has copied nothing for
-// stallFactor times what copying usually takes it, and for minStall: shorter
-// stalls are those of a busy disk or a full link, and end by themselves sooner
-// than a promotion's effects do.
+// stallFactor times its usual lag and at least for minStall. Shorter stalls come from a
+// busy disk or a full link, and end sooner than the effects of a promotion.
 const (
 	stallFactor = 4
 	minStall    = 2 * time.Second
 )
 
-// stallAfter returns how long a replica may miss entries and copy none. One whose
-// usual lag isn't known yet gets the most there is, since it may be a replica that
-// is always far behind.
+// stallAfter returns how long a replica may lack entries and copy none. A replica whose
+// usual lag isn't known yet gets the maximum, since it may always be far behind.
 func (p Policy) stallAfter(o Observation) time.Duration {
 	maxStall := orDefault(p.StallAfter, DefaultStallAfter)
 	if o.UsualLag == 0 {
--- a/core/group/assess_test.go
+++ b/core/group/assess_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
-// informed is what a host says that misses the primary and reaches the replicas.
+// viewWithoutPrimary is the view of a host that reaches the replicas but not the primary.
 func viewWithoutPrimary(silent time.Duration) group.View {
 	v := viewOfPrimary("h1", "dc-b", silent)
 	for _, n := range []fleet.Instance{"b", "c"} {
@@ -58,32 +58,32 @@
 			views: []group.View{viewOfPrimary("h1", "dc-a", time.Second), viewOfPrimary("h2", "dc-b", 0)},
 		},
 		{
-			// The cut leaves h1 in reach of everyone, with the primary.
-			name: "most hosts miss it, for a moment", silent: time.Second,
+			// The partition leaves the primary with h1, which reaches every instance.
+			name: "silent to most hosts for 1 s", silent: time.Second,
 			views: []group.View{viewOfPrimary("h1", "dc-b", 0), viewOfPrimary("h2", "dc-c", time.Second)},
 		},
 		{
-			name: "most hosts miss it", silent: 3 * time.Second,
+			name: "silent to most hosts for 3 s", silent: 3 * time.Second,
 			views: []group.View{viewOfPrimary("h1", "dc-b", 0), viewOfPrimary("h2", "dc-c", time.Second)},
 			cause: group.CauseOutvoted,
 		},
 		{
-			name: "a second host that has only begun to ask", silent: 2 * time.Second,
+			name: "a second host that has only begun to poll", silent: 2 * time.Second,
 			views: []group.View{viewOfPrimary("h1", "dc-b", 100*time.Millisecond)},
 		},
 		{
-			// h1 is cut off together with the primary, and reaches nothing else.
-			name: "half a cut, for a moment", silent: 2 * time.Second,
+			// h1 is cut off together with the primary and reaches no other instance.
+			name: "primary cut off with one host for 2 s", silent: 2 * time.Second,
 			views: []group.View{viewOfPrimary("h2", "dc-a", time.Second), viewOfPrimaryOnly("h1", "dc-b")},
 		},
 		{
-			name: "half a cut", silent: 6 * time.Second,
+			name: "primary cut off with one host for 6 s", silent: 6 * time.Second,
 			views: []group.View{viewOfPrimary("h2", "dc-a", time.Second), viewOfPrimaryOnly("h1", "dc-b")},
 			cause: group.CauseSoleObserver,
 		},
-		{name: "the last host", silent: 6 * time.Second, cause: group.CauseSoleObserver},
+		{name: "no other host", silent: 6 * time.Second, cause: group.CauseSoleObserver},
 		{
-			name: "hosts of one data centre are left", silent: 6 * time.Second,
+			name: "no host of another data centre", silent: 6 * time.Second,
 			views: []group.View{viewOfPrimary("h1", "dc-a", time.Second)}, cause: group.CauseSoleObserver,
 		},
 	}
@@ -104,10 +104,10 @@
 	}
 }
 
-// An order client sees its writes refused for a second although nothing has
-// failed: the primary's disk was slow, its status came late, and two hosts took
-// it for dead. A primary that gets slow by steps is slow, and one that stalls
-// for half a second comes back.
+// The primary's disk is slow, so that its statuses arrive late. If two hosts suspected
+// it, writes would be refused for a second although nothing has failed. Neither a
+// primary that becomes slower by steps nor one that stalls for half a second may be
+// suspected.
 func TestSlowPrimaryIsNotSuspected(t *testing.T) {
 	c := qt.New(t)
 	p := newPoller()
@@ -126,9 +126,9 @@
 	c.Assert(p.assess(viewOfPrimary("h1", "dc-b", time.Second)).Cause, qt.Equals, group.CauseNone)
 }
 
-// A host is paused for ten seconds. When it wakes, the answers that came in
-// meanwhile lie unread, every instance looks silent for ten seconds, and a
-// second host that was paused with it agrees.
+// A host is paused for ten seconds. When it wakes, the answers that arrived meanwhile are
+// still unread, every instance seems silent for ten seconds, and a second host that was
+// paused with it reports the same.
 func TestPausedHostSuspectsNoInstance(t *testing.T) {
 	c := qt.New(t)
 	p := newPoller()
@@ -139,8 +139,8 @@
 	c.Assert(p.assess(viewOfPrimary("h1", "dc-b", 10*time.Second)).Cause, qt.Equals, group.CauseNone)
 }
 
-// A host fences a majority and is paused before it promotes. No primary can
-// acknowledge anything then; the others have to notice without being asked.
+// A host fences a majority and is paused before it promotes. No primary can acknowledge
+// anything then, and the other hosts have to detect that by themselves.
 func TestAbandonedPromotionIsTakenOver(t *testing.T) {
 	c := qt.New(t)
 	p := newPoller()
@@ -155,8 +155,8 @@
 	c.Assert(p.group.Snapshot(p.now).Primary, qt.Equals, fleet.Instance(""))
 }
 
-// A host fences one replica and dies. The primary still has its majority, but
-// the replica takes nothing from it any more and lags without end.
+// A host fences one replica and crashes. The primary still has its majority, but the
+// replica copies nothing from it any more, and its lag would grow without bound.
 func TestReplicaFencedByAbandonedPromotionIsRecovered(t *testing.T) {
 	c := qt.New(t)
 	p := newPoller()
@@ -167,8 +167,8 @@
 	c.Assert(p.group.Snapshot(p.now).Primary, qt.Equals, fleet.Instance("a"))
 }
 
-// A team takes the primary's machine out of service. Callers in the middle of a
-// transaction should end it; no one else should wait for long.
+// The document marks the primary as leaving. Transactions in progress should end, and no
+// other caller should wait for long.
 func TestLeavingPrimaryHandsOverOnceQuiet(t *testing.T) {
 	c := qt.New(t)
 	p := newPoller()
@@ -187,8 +187,8 @@
 	c.Assert(p.promote(c, a).Target, qt.Equals, fleet.Instance("b"))
 }
 
-// The primary's machine leaves while it is the only one that answers. Writes
-// would stop for good if it were fenced, or if writes waited for another.
+// The primary is marked as leaving while it is the only instance that answers. Writes
+// would stop for good if it were fenced, or if they waited for another primary.
 func TestLeavingPrimaryStaysWhileNoOtherInstanceAnswers(t *testing.T) {
 	c := qt.New(t)
 	p := newPoller()
@@ -200,8 +200,8 @@
 	c.Assert(p.group.Snapshot(p.now).CanHandOver(p.now), qt.IsFalse)
 }
 
-// A cut parts the primary from its replicas but from no host. Every write ends
-// as unknown, since no replica ever has it, and all hosts find the primary well.
+// The primary is cut off from its replicas but from no host. Every write ends as unknown,
+// since no replica copies it, although the primary answers all hosts.
 func TestPrimaryCutOffFromItsReplicasIsReplaced(t *testing.T) {
 	c := qt.New(t)
 	p := newPoller()
@@ -219,9 +219,9 @@
 	c.Assert(kept.Cause, qt.Equals, group.CauseNone)
 }
 
-// The same cut, after replication has been seen to take 100 ms: nobody has to wait
-// ten seconds for the first order after it. A group whose replicas are always two
-// seconds behind is no cut, and keeps its primary for as long as it is so.
+// The primary is cut off as above, after replication was observed to take 100 ms: no
+// caller may have to wait ten seconds for the first write after the cut. A group whose
+// replicas always lag by two seconds isn't cut off, and keeps its primary.
 func TestStallLimitFollowsUsualLag(t *testing.T) {
 	for _, tt := range []struct {
 		usual time.Duration
@@ -249,8 +249,8 @@
 	}
 }
 
-// A host is cut off with one replica and another host. Fencing what it reaches
-// would have that replica refuse the group's primary after the cut.
+// A host is cut off with one replica and another host. If it fenced that replica, the
+// replica would refuse the group's primary once the partition ends.
 func TestMinorityProposesNothing(t *testing.T) {
 	c := qt.New(t)
 	p := newPoller()
@@ -258,7 +258,7 @@
 	p.unreachable["a"], p.unreachable["b"] = true, true
 	p.run(10 * time.Second)
 	c.Assert(p.assess(viewOfPrimary("h1", "dc-b", 10*time.Second)).Cause, qt.Equals, group.CauseNone)
-	// The replica that it reaches has been fenced by someone: still nothing.
+	// Another host has fenced the replica that it reaches: it still proposes nothing.
 	c.Assert(p.instances[2].Fence(2, "h9/1/1"), qt.IsNil)
 	p.run(time.Second)
 	c.Assert(p.assess().Cause, qt.Equals, group.CauseNone)
@@ -267,8 +267,8 @@
 	c.Assert(p.assess(viewWithoutPrimary(10*time.Second)).Cause, qt.Equals, group.CauseSilent)
 }
 
-// A host starts while the primary has no connection left and refuses it. It sees
-// two replicas and no primary, and must not take that for an abandoned promotion.
+// A host starts while the primary has no connection left and refuses its connections. It
+// observes two replicas and no primary, which must not count as an abandoned promotion.
 func TestPrimaryWithoutFreeConnectionsIsNotReplaced(t *testing.T) {
 	c := qt.New(t)
 	p := newPoller()
@@ -280,7 +280,7 @@
 	}
 }
 
-// A host starts while the primary is silent to it, and asks the others.
+// A host starts while the primary is silent to it. The views of the other hosts decide.
 func TestUnknownPrimaryIsAssessedByViewsOfOtherHosts(t *testing.T) {
 	c := qt.New(t)
 	p := newPoller()
@@ -297,8 +297,8 @@
 	c.Assert(p.assess().Cause, qt.Equals, group.CauseSoleObserver)
 }
 
-// Two hosts notice a dead primary at the same time, each before the other is
-// sure. If both take themselves for the first they fence each other out.
+// Two hosts suspect a failed primary at the same time, each before the view of the other
+// says the same. If both ranked first, they would fence each other's promotions.
 func TestPreferredHostGoesFirst(t *testing.T) {
 	c := qt.New(t)
 	p := newPoller()
@@ -318,6 +318,6 @@
 	longSilence := viewOfPrimary("h2", "dc-b", time.Second)
 	c.Assert(rank("h1", shortSilence, longSilence), qt.Equals, 1)
 	c.Assert(rank("h0", longSilence), qt.Equals, 0)
-	// h0 has died with the primary.
+	// h0 has failed together with the primary.
 	c.Assert(rank("h1", longSilence), qt.Equals, 0)
 }
--- a/core/group/group.go
+++ b/core/group/group.go
@@ -1,7 +1,8 @@
-// Package group decides what one host holds true of one database group: which
-// instance is the primary, whether a committed write may be acknowledged, how
-// fresh a replica is, whether the primary has failed, and the steps of a
-// promotion. It reads no clock and opens no socket.
+// Package group tracks the state of one database group as one host observes it.
+// It decides which instance is the primary, whether a committed write may be
+// acknowledged, how old a replica's data is at most and whether the primary has
+// failed, and it runs the steps of a promotion. It reads no clock and opens no
+// socket: the caller passes in times, answers and failures.
 package group
 
 import (
@@ -12,9 +13,11 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Group is the state of one group as one host sees it. One goroutine owns it.
+// Group is the state of one group as one host observes it. It isn't safe for
+// concurrent use.
 type Group struct {
-	// Rules are the guards; the zero value but in tests.
+	// Rules are the safety rules. Only tests set them; the zero value applies
+	// all of them.
 	Rules Rules
 
 	observations []Observation
@@ -22,20 +25,22 @@
 	lastTick     time.Time
 }
 
-// Snapshot is a copy of a Group at one moment. It is never changed.
+// Snapshot is an immutable copy of a Group at one time.
 type Snapshot struct {
 	At time.Time `json:"at"`
-	// Primary serves writes in Term; empty while no primary is known.
+	// Primary is the instance that serves writes in Term; empty while no primary
+	// is known.
 	Primary fleet.Instance `json:"primary"`
 	Term    fleet.Term     `json:"term"`
-	// Observations is in the order of the document.
+	// Observations are in the order of the document's instances.
 	Observations []Observation `json:"seen"`
 	History      History       `json:"history"`
-	// Rules are those of the Group.
+	// Rules are copied from the Group.
 	Rules Rules `json:"-"`
 }
 
-// Find returns what is known of an instance.
+// Find returns the observation of instance n, and false if the document doesn't
+// list n.
 func (s Snapshot) Find(n fleet.Instance) (Observation, bool) {
 	for _, o := range s.Observations {
 		if o.Instance.Name == n {
@@ -45,13 +50,14 @@
 	return Observation{}, false
 }
 
-// Age returns how old the data of a log that ends at p is at the most.
+// Age returns the maximum age of the data in a log that ends at p, and false if
+// no age can be proven.
 func (s Snapshot) Age(p fleet.LogPosition, now time.Time) (time.Duration, bool) {
 	return s.History.Age(p, now)
 }
 
-// Configure takes up the instances of a document and keeps what is known of
-// those that stay.
+// Configure sets the group's instances to those of a document. It keeps the
+// observations of instances whose name and address are unchanged.
 func (g *Group) Configure(now time.Time, instances []document.Instance) {
 	observations := make([]Observation, 0, len(instances))
 	for _, i := range instances {
@@ -79,17 +85,18 @@
 	return nil
 }
 
-// StatusRequested notes that an instance is being asked for its status.
+// StatusRequested records that a status request was sent to instance n.
 func (g *Group) StatusRequested(n fleet.Instance, now time.Time) {
 	if o := g.find(n); o != nil {
 		o.requestSent(now)
 	}
 }
 
-// StatusReceived takes up a status whose question was sent at sent.
+// StatusReceived handles a status of instance n that was requested at sent and
+// arrived at now.
 func (g *Group) StatusReceived(n fleet.Instance, sent, now time.Time, st fleet.Status) {
-	// A wrongly wired address answers under another name; its terms and
-	// positions would be counted for an instance that never said so.
+	// An instance that is reached under a wrong address reports another name.
+	// Its terms and positions must not be counted for n.
 	if o := g.find(n); o != nil && st.Instance == n {
 		previousLast := o.Status.Last
 		o.statusReceived(sent, now, st)
@@ -99,7 +106,8 @@
 	}
 }
 
-// CommandAnswered takes up a status that came as the answer to an order sent at sent.
+// CommandAnswered handles a status that instance n returned at now in answer to a
+// command sent at sent.
 func (g *Group) CommandAnswered(n fleet.Instance, sent, now time.Time, st fleet.Status) {
 	if o := g.find(n); o != nil && st.Instance == n {
 		o.updateStatus(sent, now, st)
@@ -113,29 +121,31 @@
 	}
 }
 
-// StatusFailed notes that a question went unanswered. refused tells that the address
-// refused the connection, so that no process serves there.
+// StatusFailed records that a status request to instance n failed. refused is set
+// if the address refused the connection, which means that no process listens there.
 func (g *Group) StatusFailed(n fleet.Instance, refused bool) {
 	if o := g.find(n); o != nil {
 		o.requestFailed(refused)
 	}
 }
 
-// TooManyConnections notes that an instance answered but refused the connection for having
-// too many: it lives, though its status isn't known.
+// TooManyConnections records that instance n refused a connection because it has
+// too many. The instance is running, but its status isn't known.
 func (g *Group) TooManyConnections(n fleet.Instance, now time.Time) {
 	if o := g.find(n); o != nil {
 		o.answerReceived(now)
 	}
 }
 
-// maxTickGap is the longest time between two ticks after which the silence of
-// the instances still counts. Ticks come every few tens of milliseconds.
+// maxTickGap is the time between two ticks above which the host counts as having
+// been paused. Ticks come every few tens of milliseconds.
 const maxTickGap = 250 * time.Millisecond
 
-// Tick is called at least every 50 ms or so. After a longer gap the host itself
-// was paused: answers then lie unread and every instance looks silent for the
-// length of the pause, so silence counts anew from now.
+// Tick has to be called at least every 50 ms or so. It reports whether the gap
+// since the last tick exceeds maxTickGap, which means that the host itself was
+// paused. Answers that arrived meanwhile are still unread and every instance
+// seems silent for the length of the pause, so Tick restarts the measurement of
+// silence at now.
 func (g *Group) Tick(now time.Time) (paused bool) {
 	paused = !g.lastTick.IsZero() && now.Sub(g.lastTick) > maxTickGap
 	g.lastTick = now
@@ -150,7 +160,7 @@
 	return true
 }
 
-// Snapshot returns a copy of what is known now.
+// Snapshot returns a copy of the group's state, dated now.
 func (g *Group) Snapshot(now time.Time) Snapshot {
 	s := Snapshot{At: now, Observations: slices.Clone(g.observations), History: g.history, Rules: g.Rules}
 	if i, ok := primaryIndex(g.observations); ok {
--- a/core/group/group_test.go
+++ b/core/group/group_test.go
@@ -38,8 +38,8 @@
 	return start.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// Two answers of an instance cross. The older one, taken for the state of now,
-// would take the group back to a primary that is no more.
+// Two answers of an instance arrive in reverse order. If the older one replaced the
+// newer, the group would have a primary again that has been replaced.
 func TestOlderAnswerThatArrivesLaterIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	g := newGroup()
@@ -48,8 +48,8 @@
 	c.Assert(g.Snapshot(at(30)).Primary, qt.Equals, fleet.Instance(""))
 }
 
-// An address that is wired to another instance would have that one's position
-// counted twice, and a write held by one instance taken for replicated.
+// An address leads to another instance. If that instance's position were counted for
+// both, a write that only one instance has would count as replicated.
 func TestAnswerOfAnotherInstanceIsNotCounted(t *testing.T) {
 	c := qt.New(t)
 	g := newGroup()
@@ -61,8 +61,8 @@
 	c.Assert(got, qt.Equals, group.VerdictWait)
 }
 
-// The primary is cut off and its last status still looks well, while a majority
-// has promised a later term. A write sent to it would end as unknown.
+// The primary is cut off and its last status is still that of a primary, but a
+// majority has promised a later term. A write sent to it would end as unknown.
 func TestReplacedPrimaryIsNotNamed(t *testing.T) {
 	c := qt.New(t)
 	g := newGroup()
@@ -79,8 +79,8 @@
 	c := qt.New(t)
 	g := newGroup()
 	c.Assert(group.Repair(g.Snapshot(start)), qt.HasLen, 0)
-	// b has been left out of the last promotion, c has promised to a proposer
-	// whose promotion isn't over and would refuse.
+	// The last promotion left b out. c has promised a later term to a proposer whose
+	// promotion hasn't ended, and would refuse.
 	for _, n := range []fleet.Instance{"a"} {
 		g.StatusReceived(n, at(1), at(2), status(n, 2, fleet.RolePrimary, fleet.LogPosition{Term: 2, Index: 6}))
 	}
@@ -90,8 +90,8 @@
 	}})
 }
 
-// The answer to the order to promote is lost. The instance may be the primary
-// by now, so nobody else may become it in the same term.
+// The answer to a promote command is lost. The instance may be the primary by then, so
+// no other instance may become the primary in the same term.
 func TestPromotionWithLostAnswerIsNotTriedOnAnotherInstance(t *testing.T) {
 	c := qt.New(t)
 	g := newGroup()
--- a/core/group/grouptest/grouptest.go
+++ b/core/group/grouptest/grouptest.go
@@ -1,6 +1,6 @@
-// Package grouptest is a model of database instances in memory: what they
-// promise, keep and copy, without replication of its own accord. Tests of the
-// group's rules and of its runtime are run against it.
+// Package grouptest models database instances in memory: the terms that they
+// promise, their logs and how they copy entries. Replication happens only when a test
+// calls Copy. The tests of core/group and io/groupmonitor run against it.
 package grouptest
 
 import (
@@ -16,8 +16,8 @@
 	Value string
 }
 
-// Instance is one database instance. What it promises and its log outlive its
-// process.
+// Instance is one database instance. Its promised term and its log survive a restart
+// of its process.
 type Instance struct {
 	Name     fleet.Instance
 	Promised fleet.Term
@@ -27,12 +27,12 @@
 	Log      []Entry
 }
 
-// The refusals of an instance.
+// The errors that an instance returns.
 var (
-	ErrTerm    = errors.New("the term is promised to another or is too low")
-	ErrReplica = errors.New("a replica takes no writes")
+	ErrTerm    = errors.New("the term is promised to another proposer or is too low")
+	ErrReplica = errors.New("a replica accepts no writes")
 	ErrFenced  = errors.New("the primary is fenced")
-	ErrSource  = errors.New("the source doesn't serve the term that is followed")
+	ErrSource  = errors.New("the source isn't the primary of the followed term")
 )
 
 // New returns a group of instances, the first of them the primary in term 1.
@@ -47,7 +47,7 @@
 	return out
 }
 
-// Last returns the point of the last entry.
+// Last returns the position of the last entry.
 func (i *Instance) Last() fleet.LogPosition {
 	n := len(i.Log)
 	if n == 0 {
@@ -56,14 +56,15 @@
 	return fleet.LogPosition{Term: i.Log[n-1].Term, Index: fleet.LogIndex(n)}
 }
 
-// Status returns what the instance says of itself.
+// Status returns the status that the instance reports.
 func (i *Instance) Status() fleet.Status {
 	return fleet.Status{
 		Instance: i.Name, Promised: i.Promised, Role: i.Role, Last: i.Last(), Follows: i.Follows,
 	}
 }
 
-// Fence promises t to one proposer.
+// Fence promises the term to a proposer. It returns ErrTerm if the term isn't higher
+// than the promised one, unless it is already promised to this proposer.
 func (i *Instance) Fence(term fleet.Term, proposer fleet.Host) error {
 	if term == i.Promised && proposer == i.Proposer {
 		return nil
@@ -75,7 +76,8 @@
 	return nil
 }
 
-// Promote makes the instance the primary of t, which the proposer was promised.
+// Promote makes the instance the primary of the term, which has to be promised to the
+// proposer.
 func (i *Instance) Promote(term fleet.Term, proposer fleet.Host) error {
 	if term != i.Promised || proposer != i.Proposer {
 		return ErrTerm
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// Follow makes the instance a replica of primary in term t.
+// Follow makes the instance a replica of primary in the given term.
 func (i *Instance) Follow(term fleet.Term, primary fleet.Instance) error {
 	if term < i.Promised {
 		return ErrTerm
@@ -103,7 +105,7 @@
 	return nil
 }
 
-// Append adds an entry at the primary and returns its point.
+// Append adds an entry to the log of the primary and returns its position.
 func (i *Instance) Append(value string) (fleet.LogPosition, error) {
 	if i.Role != fleet.RolePrimary {
 		return fleet.LogPosition{}, ErrReplica
@@ -116,8 +118,8 @@
 	return i.Last(), nil
 }
 
-// Copy has a replica drop the entries that its primary doesn't have and take up
-// to n that it lacks.
+// Copy drops the entries of a replica that its primary doesn't have and copies up to n
+// entries that the replica lacks.
 func (i *Instance) Copy(from *Instance, n int) error {
 	if i.Role != fleet.RoleReplica || i.Follows != from.Name {
 		return ErrSource
--- a/core/group/history.go
+++ b/core/group/history.go
@@ -6,22 +6,22 @@
 	"skylarkdeal/core/fleet"
 )
 
-// History keeps proofs, the oldest first, thinned out with age: a gap between
-// two of them stays under a quarter of the age of the younger one. A replica's
-// age is so found at most a quarter too old, and never too young, from a few
-// dozen proofs.
+// History is a list of proofs, the oldest first, that grows sparser with age: the
+// gap between two of them stays under a quarter of the age of the younger one. A
+// few dozen proofs therefore give a replica's age at most a quarter too high, and
+// never too low.
 type History []Proof
 
-// maxProvableAge is the longest age that can be proven; a caller that accepts
-// older data than this is served as if it had asked for this.
+// maxProvableAge is the highest age that can be proven. A read that accepts older
+// data is served as if it had stated this age.
 const maxProvableAge = time.Minute
 
-// minProofGap is the least gap between two kept proofs, so that a busy group's
-// hundreds of rounds a second don't fill the history.
+// minProofGap is the minimum gap between two kept proofs. A busy group makes
+// hundreds of proofs a second, which would fill the history.
 const minProofGap = 5 * time.Millisecond
 
-// Add returns h with p, without those that are no longer needed. h itself is
-// left as it is.
+// Add returns a copy of h with p at its end and without the proofs that are no
+// longer needed. If p isn't newer than the last proof, it returns h.
 func (h History) Add(p Proof) History {
 	if n := len(h); n > 0 && !h[n-1].AsOf.Before(p.AsOf) {
 		return h
@@ -44,8 +44,8 @@
 	return append(out, p)
 }
 
-// CompleteUntil returns the latest moment before which a log that ends at p is proven
-// to have every acknowledged write.
+// CompleteUntil returns the latest time before which a log that ends at p is proven
+// to have every acknowledged write, and false if there is none.
 func (h History) CompleteUntil(p fleet.LogPosition) (time.Time, bool) {
 	for i := len(h) - 1; i >= 0; i-- {
 		if p.Covers(h[i].Position) {
@@ -55,15 +55,15 @@
 	return time.Time{}, false
 }
 
-// Age returns how old the data of a log that ends at p is at the most, and
-// whether that can be proven.
+// Age returns the maximum age at now of the data in a log that ends at p, and
+// false if no age can be proven.
 func (h History) Age(p fleet.LogPosition, now time.Time) (time.Duration, bool) {
 	asOf, ok := h.CompleteUntil(p)
 	return max(0, now.Sub(asOf)), ok
 }
 
-// MissingSince returns the earliest moment by which the primary is known to have had
-// more than a log that ends at p, and false when it isn't known to have more.
+// MissingSince returns the earliest time at which the primary is known to have had
+// entries that a log that ends at p lacks, and false if it isn't known to have any.
 func (h History) MissingSince(p fleet.LogPosition) (time.Time, bool) {
 	for _, proof := range h {
 		if !p.Covers(proof.Position) {
--- a/core/group/model_test.go
+++ b/core/group/model_test.go
@@ -16,17 +16,17 @@
 )
 
 func TestMain(m *testing.M) {
-	// The same verdict each run; the command line may still set another seed.
+	// A fixed seed gives the same result in each run. The command line can set another.
 	_ = flag.Set("rapid.seed", "1202")
 	_ = flag.Set("rapid.nofailfile", "true")
 	_ = flag.Set("rapid.shrinktime", "5s")
 	os.Exit(m.Run())
 }
 
-// A caller has its order confirmed, the primary dies, and the order is gone; or
-// it reads on another host and doesn't find it. Between the two, links are cut,
-// hosts restart in the middle of a promotion, answers are lost and come in late
-// and crossed, and several hosts promote at once.
+// Guards against a write that is acknowledged and then lost when the primary fails, and
+// against a read through another host that misses it. Meanwhile links are cut, hosts
+// restart during a promotion, answers are lost, late or out of order, and several hosts
+// promote at the same time.
 func TestModelKeepsAcknowledgedWrites(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		for _, rule := range []document.Acknowledge{document.AcknowledgeReplicated, document.AcknowledgePrimary} {
@@ -48,7 +48,7 @@
 				t.Logf("%v", stats)
 				for _, k := range []string{"acknowledged", "unknown", "promoted", "read by replica", "read by primary"} {
 					if stats[k] < 300 {
-						t.Errorf("%d × %s: too few for the test to tell anything", stats[k], k)
+						t.Errorf("%d × %s: too few to be conclusive", stats[k], k)
 					}
 				}
 			})
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// TestModelFindsEveryMissingGuard takes out one guard at a time. A model that
-// still held would not be testing that guard.
+// TestModelFindsEveryMissingGuard removes one rule at a time and expects the model to
+// report a fault. A model that reports none doesn't test that rule.
 func TestModelFindsEveryMissingGuard(t *testing.T) {
 	unfenced := func(f func(o group.Observation, n fleet.Term, since time.Time) bool) group.Rules {
 		return group.Rules{Unfenced: f}
@@ -107,8 +107,8 @@
 		{guard: "unique proposer", set: func(m *model) {
 			m.proposer = func(h *host) fleet.Host { return fleet.Host(fmt.Sprint(h.index)) }
 		}},
-		{guard: "age from the question", set: func(m *model) {
-			m.askedAt = func(_, heard time.Time) time.Time { return heard }
+		{guard: "age from the status request", set: func(m *model) {
+			m.askedAt = func(_, received time.Time) time.Time { return received }
 		}},
 	}
 	for _, tt := range tests {
@@ -126,7 +126,7 @@
 					return
 				}
 			}
-			t.Fatal("the model holds without the guard")
+			t.Fatal("the model reports no fault without the guard")
 		})
 	}
 }
--- a/core/group/no_primary.go
+++ b/core/group/no_primary.go
@@ -7,7 +7,8 @@
 	"skylarkdeal/core/fleet"
 )
 
-// highestPromised returns the highest term that is promised, and since when.
+// highestPromised returns the highest term that any instance has promised, and
+// the latest time at which an instance was seen to promise it.
 func (s Snapshot) highestPromised() (fleet.Term, time.Time) {
 	highest := nextTerm(s) - 1
 	var since time.Time
@@ -19,28 +20,30 @@
 	return highest, since
 }
 
-// NoPrimary reports whether no primary is known that serves in the highest term
-// that is promised.
+// NoPrimary reports whether no primary is known in the highest promised term.
 func (s Snapshot) NoPrimary() bool {
 	highest, _ := s.highestPromised()
 	return s.Primary == "" || s.Term < highest
 }
 
-// NeedsFastPolling reports whether the instances have to be asked quickly and the other
-// hosts for their views.
+// NeedsFastPolling reports whether the instances have to be polled at short
+// intervals and the other hosts asked for their views: while there is no primary,
+// or while the primary has been silent for long enough.
 func (p Policy) NeedsFastPolling(s Snapshot, now time.Time) bool {
 	primary, ok := s.Find(s.Primary)
 	return !ok || s.NoPrimary() || p.ShouldAskPeers(primary, now)
 }
 
-// assessWithoutPrimary decides about a group without a known primary: what a proposer leaves
-// that was paused or died, or what a host sees that doesn't reach the primary.
+// assessWithoutPrimary decides about a group without a known primary. A proposer
+// that was paused or died leaves a group in that state; a host that can't reach
+// the primary sees it too.
 //
-// If every instance has answered since the term was promised, none is its
-// primary, whoever asks. If one hasn't, it may be the primary: one that refuses
-// connections for having too many is waited for, and for one that is silent the
-// other hosts are heard as if it were the primary. A host that had just started
-// and found the primary full would otherwise replace it.
+// If every instance has answered since the highest term was promised, that term
+// has no primary, and every host finds the same. An instance that hasn't answered
+// since then may be the primary. If it isn't suspected, such as one that refuses
+// connections because it has too many, the host waits for it. If it is suspected,
+// the views of the other hosts decide, as for a known primary. Without this rule
+// a recently started host would replace a primary that has no connection left.
 func (p Policy) assessWithoutPrimary(
 	now time.Time, s Snapshot, self Observer, views []View, preference []fleet.Host,
 ) Assessment {
@@ -55,7 +58,7 @@
 			continue
 		}
 		if !p.Suspects(o, now) {
-			return Assessment{Reason: fmt.Sprintf("instance %s may be the primary and has yet to tell", o.Instance.Name)}
+			return Assessment{Reason: fmt.Sprintf("instance %s may be the primary and hasn't answered yet", o.Instance.Name)}
 		}
 		silent++
 	}
@@ -68,7 +71,7 @@
 	v := votes{unreachableFrom: []Observer{self}}
 	for _, view := range views {
 		if p.reachability(view, s) == reachabilityNewerTerm {
-			return Assessment{Reason: fmt.Sprintf("host %s knows the primary", view.Host)}
+			return Assessment{Reason: fmt.Sprintf("no primary is known here, but host %s reaches one", view.Host)}
 		}
 		if view.reachesMajority() {
 			v.unreachableFrom = append(v.unreachableFrom, Observer{Host: view.Host, DataCentre: view.DataCentre})
@@ -79,8 +82,8 @@
 	return a
 }
 
-// reachesMajority reports whether the host reaches a majority of the instances, so that
-// its not knowing of a primary tells something.
+// reachesMajority reports whether the host reaches a majority of the instances.
+// Its report that it reaches a primary, or that it knows of none, counts only then.
 func (v View) reachesMajority() bool {
 	var n int
 	for _, i := range v.Instances {
--- a/core/group/no_primary_test.go
+++ b/core/group/no_primary_test.go
@@ -10,10 +10,10 @@
 	"skylarkdeal/core/group"
 )
 
-// A host restarts while the primary has no connection to spare for it. It hears
-// from both replicas that term 1 is promised, finds no primary of that term and
-// promotes a replica: callers' writes in progress end as unknown, though nothing
-// has failed. Another host's word, or patience, has to stop it.
+// A host restarts while the primary has no connection left for it. Both replicas report
+// that term 1 is promised, and the host knows no primary of that term. If it promoted a
+// replica, callers' writes in progress would end as unknown although nothing has failed.
+// The view of another host, or SoleObserverAfter, has to prevent that.
 func TestHostThatHasNotReachedThePrimaryDoesNotPromote(t *testing.T) {
 	c := qt.New(t)
 	p := newPoller()
@@ -26,7 +26,7 @@
 	}}}
 	p.run(9 * time.Second)
 	c.Assert(p.assess(other).Cause, qt.Equals, group.CauseNone)
-	// Nobody reaches it: the group must not stay without a primary for ever.
+	// No host reaches the primary: the group must not stay without one for ever.
 	c.Assert(p.assess().Cause, qt.Equals, group.CauseSoleObserver)
 	other.Instances[0].Last.Term = 0 // fenced: its last entry is of an earlier term
 	c.Assert(p.assess(other).Cause, qt.Equals, group.CauseSilent)
--- a/core/group/observation.go
+++ b/core/group/observation.go
@@ -7,35 +7,41 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Observation is what one host knows of one instance.
+// Observation is the state of one instance as one host observes it.
 type Observation struct {
 	Instance document.Instance `json:"instance"`
-	// Status is the answer to the question that was sent last, of those that
-	// have been answered.
+	// Status is the answer to the latest of the status requests that have been
+	// answered.
 	Status fleet.Status `json:"status"`
-	// Sent is when the question behind Status was sent; zero before the first
-	// answer. What Status tells was true at some time after Sent.
+	// Sent is when the request that Status answers was sent; zero before the first
+	// answer. Status was true at some time after Sent.
 	Sent time.Time `json:"sent"`
-	// Heard is when the last answer came in.
+	// Heard is when the last answer arrived.
 	Heard time.Time `json:"heard"`
-	// UnansweredSince is since when the instance has owed an answer; zero while it owes
-	// none. It counts from a question, not from the last answer, so that an
-	// instance that nobody asks isn't taken for dead.
+	// UnansweredSince is since when the instance has left a request unanswered; zero
+	// while none is pending. It starts at a request, not at the last answer, so that
+	// an instance that isn't polled doesn't count as failed.
 	UnansweredSince time.Time `json:"waiting"`
-	// Latency is the moving average of the time from question to answer.
+	// Latency is the moving average of the time from request to answer.
 	Latency time.Duration `json:"latency"`
-	// LogMovedAt is when the last entry of the log was last seen to change.
+	// LogMovedAt is when the last entry of the log was last observed to change, or was
+	// first observed.
 	LogMovedAt time.Time `json:"moved"`
-	// TermRaisedAt is when the promised term was last seen to rise.
+	// TermRaisedAt is when the promised term was last observed to rise, or was first
+	// observed.
 	TermRaisedAt time.Time `json:"raised"`
-	// LeavingSince is when the document was first seen to mark it as leaving.
+	// LeavingSince is when a document first marked the instance as leaving; zero
+	// while it isn't leaving.
 	LeavingSince time.Time `json:"leaving-since"`
-	// Lag is a moving estimate of how long an entry takes to get here.
+	// Lag is a moving estimate of how long an entry takes to reach this instance. It
+	// rises while the instance is cut off from its primary.
 	Lag time.Duration `json:"lag"`
-	// UsualLag is what entries took to get here of late, taken when they had; zero
-	// while none has been seen to. A cut doesn't raise it, as it does Lag.
+	// UsualLag is how long recent entries took to reach this instance, updated when
+	// they arrive; zero until an arrival has been observed. Unlike Lag it doesn't rise while
+	// the instance is cut off from its primary.
 	UsualLag time.Duration `json:"usual-lag"`
-	// Refusing is set while the instance's address refuses connections.
+	// Refusing is set if the last request failed because the instance's address
+	// refused the connection.
 	Refusing bool `json:"refusing"`
 
 	pendingRequests int
@@ -46,7 +52,8 @@
 	return !o.Sent.IsZero()
 }
 
-// Silent returns how long the instance has owed an answer.
+// Silent returns how long the instance has left a request unanswered, and zero
+// while none is pending.
 func (o Observation) Silent(now time.Time) time.Duration {
 	if o.UnansweredSince.IsZero() {
 		return 0
@@ -54,14 +61,16 @@
 	return max(0, now.Sub(o.UnansweredSince))
 }
 
-// IsUnfencedPrimary reports whether the status is that of a primary that no promotion has
-// fenced: the last entry of a primary is of its own term.
+// IsUnfencedPrimary reports whether the status is that of a primary that no promotion
+// has fenced. The last entry of a primary is of its own term, so a higher promised
+// term shows a fence.
 func (o Observation) IsUnfencedPrimary() bool {
 	return o.Known() && o.Status.Role == fleet.RolePrimary && o.Status.Promised == o.Status.Last.Term
 }
 
-// latencyDivisor is the part of the latest answer in the moving average: about
-// eight answers decide it, under a second at the pace of a busy group.
+// latencyDivisor gives the latest answer a weight of one eighth in the moving average.
+// The average follows a change within about eight answers, which take under a second in
+// a busy group.
 const latencyDivisor = 8
 
 func (o *Observation) requestSent(now time.Time) {
@@ -92,8 +101,8 @@
 }
 
 func (o *Observation) updateStatus(sent, now time.Time, st fleet.Status) {
-	// An answer that comes in after that of a later question tells less than
-	// what is known already.
+	// An answer that arrives after that of a later request is older than the status
+	// that is known.
 	if sent.Before(o.Sent) {
 		return
 	}
@@ -111,14 +120,14 @@
 	o.Refusing = refused
 }
 
-// lagDivisor makes the estimate of the lag follow a fall over some eight answers;
-// it follows a rise at once.
+// lagDivisor makes the lag estimate follow a fall over about eight answers. It follows
+// a rise at once.
 const lagDivisor = 8
 
-// updateUsualLag takes what the entries that have just got here took: a log that ended at
-// last was known to miss something since then.
+// updateUsualLag takes in how long the entries that have just arrived took. It counts
+// from the time since which a log that ends at previousLast is known to lack entries.
 func (o *Observation) updateUsualLag(previousLast fleet.LogPosition, h History) {
-	// What a change of primary took is no lag of the replica.
+	// The time that a change of primary took is no replication lag.
 	if o.Status.Last == previousLast || o.Status.Last.Term != previousLast.Term {
 		return
 	}
@@ -134,8 +143,8 @@
 	o.UsualLag -= (o.UsualLag - took) / lagDivisor
 }
 
-// updateLag takes the age of the first thing that the log is known to miss for the
-// time that an entry takes to get there.
+// updateLag takes the age of the first entry that the log is known to lack as the time
+// that an entry takes to arrive.
 func (o *Observation) updateLag(h History) {
 	var lag time.Duration
 	if asOf, ok := h.MissingSince(o.Status.Last); ok {
--- a/core/group/poller_test.go
+++ b/core/group/poller_test.go
@@ -12,8 +12,8 @@
 	"skylarkdeal/core/group/grouptest"
 )
 
-// watcher asks three instances in three data centres every 50 ms, as a busy
-// host does, and hears from each after its latency.
+// poller polls three instances in three data centres every 50 ms, as a busy host does.
+// Each answer arrives after the latency of its instance.
 type poller struct {
 	group          group.Group
 	now            time.Time
@@ -44,7 +44,7 @@
 	return p
 }
 
-// watch lets d pass.
+// run advances the time by d.
 func (p *poller) run(d time.Duration) {
 	for end := p.now.Add(d); p.now.Before(end); p.now = p.now.Add(time.Millisecond) {
 		p.group.Tick(p.now)
@@ -86,7 +86,7 @@
 	return group.AssessPrimary(p.now, group.Policy{}, p.group.Snapshot(p.now), self, views, []fleet.Host{"h0", "h1", "h2"})
 }
 
-// near puts all instances into one data centre.
+// useOneDataCentre puts all instances into one data centre.
 func (p *poller) useOneDataCentre() {
 	var d []document.Instance
 	for _, o := range p.group.Snapshot(p.now).Observations {
@@ -96,7 +96,7 @@
 	p.group.Configure(p.now, d)
 }
 
-// leave marks an instance as leaving.
+// markLeaving marks an instance as leaving.
 func (p *poller) markLeaving(n fleet.Instance) {
 	var d []document.Instance
 	for _, o := range p.group.Snapshot(p.now).Observations {
@@ -106,14 +106,14 @@
 	p.group.Configure(p.now, d)
 }
 
-// copy has the replicas catch up.
+// copy makes the replicas catch up with the primary.
 func (p *poller) copy() {
 	for _, i := range p.instances[1:] {
 		_ = i.Copy(p.instances[0], 100)
 	}
 }
 
-// promote runs the promotion that j calls for to its end.
+// promote runs the promotion that a calls for to its end.
 func (p *poller) promote(c *qt.C, a group.Assessment) *group.Promotion {
 	promotion, commands := group.Promote(p.now, p.group.Snapshot(p.now), "h0/1/1", a.Excluded)
 	for len(commands) > 0 {
@@ -137,7 +137,8 @@
 	return promotion
 }
 
-// view is what another host of a data centre says of the primary.
+// viewOfPrimary is the view of another host, with the primary only. A zero silent stands
+// for a host that reaches it.
 func viewOfPrimary(h fleet.Host, dc fleet.DataCentre, silent time.Duration) group.View {
 	return group.View{Host: h, DataCentre: dc, Instances: []group.InstanceView{{
 		Instance: "a", Reachable: silent == 0, Silent: silent, Term: 1,
@@ -145,7 +146,7 @@
 	}}}
 }
 
-// alone is the view of a host that reaches the primary and no other instance.
+// viewOfPrimaryOnly is the view of a host that reaches the primary and no other instance.
 func viewOfPrimaryOnly(h fleet.Host, dc fleet.DataCentre) group.View {
 	v := viewOfPrimary(h, dc, 0)
 	for _, n := range []fleet.Instance{"b", "c"} {
--- a/core/group/promotion.go
+++ b/core/group/promotion.go
@@ -8,7 +8,7 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Act is one step that an instance is asked to take.
+// Act is the kind of a Command.
 type Act string
 
 // The acts of a change of primary.
@@ -18,8 +18,8 @@
 	ActFollow  Act = "follow"
 )
 
-// Command is one step for one instance to take. Primary and Address are set for
-// ActFollow.
+// Command asks one instance to take one step of a change of primary. Proposer is set
+// for ActFence and ActPromote, Primary and Address for ActFollow.
 type Command struct {
 	Act      Act            `json:"act"`
 	Instance fleet.Instance `json:"instance"`
@@ -29,7 +29,7 @@
 	Address  string         `json:"address,omitempty"`
 }
 
-// Phase is how far a promotion has come.
+// Phase is the progress of a promotion.
 type Phase string
 
 // The phases of a promotion.
@@ -40,21 +40,22 @@
 	PhaseFailed  Phase = "failed"
 )
 
-// extraFenceWait is how long a promotion waits for more than a majority to be fenced.
-// With acknowledge = primary the further instance may hold writes that the
-// majority lacks; three round trips at 1 ms links leave room for jitter.
+// extraFenceWait is how long a promotion waits for further instances once a majority is
+// fenced. With acknowledge = primary such an instance may hold acknowledged writes
+// that the majority lacks. The time covers three round trips over links of 1 ms and
+// leaves room for jitter.
 const extraFenceWait = 20 * time.Millisecond
 
-// promotionTimeout ends a promotion whose answers are lost, so that the next one
-// can start in a later term.
+// promotionTimeout ends a promotion whose answers were lost, so that the next one can
+// start in a later term.
 const promotionTimeout = 2 * time.Second
 
-// Promotion is one proposer's way through one change of primary: it fences a
-// majority of the instances at a new term, promotes the one of them with the
-// highest last entry, and points the others at it.
+// Promotion is one attempt of one proposer to change the primary. It fences a
+// majority of the instances at a new term, promotes the fenced instance with the
+// highest last entry and makes the others follow it.
 //
-// A Promotion is abandoned without harm at any step. It never asks two
-// instances to serve in one term: when the answer to ActPromote is lost, the
+// A Promotion may be abandoned at any step without harm. It never asks two
+// instances to serve in one term: if the answer to ActPromote is lost, the
 // instance may be the primary, and the next Promotion has a later term.
 type Promotion struct {
 	Term     fleet.Term     `json:"term"`
@@ -71,10 +72,10 @@
 	refused  fleet.Set[fleet.Instance]
 }
 
-// Promote starts a promotion. proposer has to be unique to this promotion in
-// the whole fleet, as Proposer makes it.
+// Promote starts a promotion and returns its first commands. proposer has to be
+// unique to this promotion in the whole fleet; Proposer returns such a name.
 //
-// Instances in excluded are fenced but not promoted, such as those that leave.
+// Instances in excluded, such as leaving ones, are fenced but not promoted.
 func Promote(now time.Time, s Snapshot, proposer fleet.Host,
 	excluded fleet.Set[fleet.Instance]) (*Promotion, []Command) {
 	p := &Promotion{
@@ -107,13 +108,13 @@
 	return Command{Act: a, Instance: n, Term: p.Term, Proposer: p.Proposer}
 }
 
-// Ended reports whether the promotion has come to its end.
+// Ended reports whether the promotion is done or has failed.
 func (p *Promotion) Ended() bool {
 	return p.Phase == PhaseDone || p.Phase == PhaseFailed
 }
 
-// Done takes up an instance's answer to an order and returns what to do next.
-// Answers to another promotion's orders are passed over.
+// Done handles an instance's answer to a command, or the error in its place, and
+// returns the next commands. It ignores answers to commands of another promotion.
 func (p *Promotion) Done(now time.Time, c Command, st fleet.Status, err error) []Command {
 	if p.Ended() || c.Term != p.Term || c.Proposer != p.Proposer {
 		return nil
@@ -132,13 +133,14 @@
 	return p.selectTarget(now)
 }
 
-// Tick ends the wait for further instances, and a promotion that hangs.
+// Tick ends the wait for further instances after extraFenceWait and the promotion
+// after promotionTimeout. It returns the next commands.
 func (p *Promotion) Tick(now time.Time) []Command {
 	if p.Ended() {
 		return nil
 	}
 	if now.Sub(p.started) > promotionTimeout {
-		p.Phase, p.Reason = PhaseFailed, "answers are missing"
+		p.Phase, p.Reason = PhaseFailed, "timed out, answers are missing"
 		return nil
 	}
 	return p.selectTarget(now)
@@ -162,16 +164,16 @@
 		return nil
 	}
 	if !ok {
-		p.Phase, p.Reason = PhaseFailed, "no instance that is fenced may be promoted"
+		p.Phase, p.Reason = PhaseFailed, "too few fenced instances may be promoted"
 		return nil
 	}
 	p.Phase, p.Target = PhasePromote, p.rules.mostAdvanced(from, p.memberNames())
 	return []Command{p.command(ActPromote, p.Target)}
 }
 
-// candidates returns the fenced instances that may be promoted, and whether
-// they are a majority by themselves: only then one of them is sure to have every
-// acknowledged write when others are left out.
+// candidates returns the fenced instances that may be promoted, and whether they are
+// a majority of all. Only then one of them is sure to have every acknowledged write
+// although others are excluded.
 func (p *Promotion) candidates() (map[fleet.Instance]fleet.Status, bool) {
 	out := maps.Clone(p.fenced)
 	for n := range p.excluded {
@@ -200,8 +202,8 @@
 	return out
 }
 
-// followCommands has all others follow the new primary. Those that don't get the order
-// are left to Repair.
+// followCommands returns the commands that make all others follow the new primary.
+// Repair makes up for commands that don't arrive.
 func (p *Promotion) followCommands() []Command {
 	var commands []Command
 	var address string
@@ -220,10 +222,9 @@
 	return commands
 }
 
-// Repair returns the orders that make replicas of all instances that don't
-// follow the primary: those that a promotion has left out, and the former
-// primary once it is back. An instance that has promised a later term is left
-// alone, since it would refuse.
+// Repair returns commands for the instances that don't follow the primary: those that a
+// promotion left out, and the former primary once it is back. An instance that has
+// promised a later term gets no command, since it would refuse.
 func Repair(s Snapshot) []Command {
 	primary, ok := s.Find(s.Primary)
 	if !ok {
--- a/core/group/proof.go
+++ b/core/group/proof.go
@@ -8,25 +8,25 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Verdict is what the statuses say of a write that the primary has committed.
+// Verdict says whether a write that the primary has committed may be acknowledged.
 type Verdict string
 
 // The verdicts. VerdictReplaced is final: the write can't be acknowledged any
-// more, and may or may not be part of the group's history.
+// more, and it is unknown whether a later primary has it.
 const (
 	VerdictWait        Verdict = "wait"
 	VerdictAcknowledge Verdict = "acknowledge"
 	VerdictReplaced    Verdict = "replaced"
 )
 
-// Acknowledge is the rule by which a write that was committed at w may be
-// acknowledged. since is a moment after the commit's answer came in.
+// Acknowledge decides whether a write that was committed at the position write may
+// be acknowledged. since is a time after the answer to the commit arrived.
 //
-// It guards against acknowledging for a primary that has been replaced, which
-// shows as an order that the caller holds confirmed and no one finds. A
-// promotion fences a majority first, so a majority that is still at the write's
-// term after the commit shares an instance with any later promotion, and that
-// instance brings the write along. See docs/design/failover.md.
+// Guards against acknowledging a write of a primary that has been replaced: the
+// caller would hold as confirmed a write that the new primary lacks. A promotion
+// first fences a majority. A majority that is still at the write's term after the
+// commit therefore shares an instance with any later promotion, and the log of
+// that instance has the write. See docs/design/failover.md.
 func (s Snapshot) Acknowledge(rule document.Acknowledge, write fleet.LogPosition, since time.Time) Verdict {
 	need := s.Rules.majority(len(s.Observations))
 	var confirmed, replaced int
@@ -47,19 +47,20 @@
 	return VerdictWait
 }
 
-// Proof says that a log which covers Position has every write that was
-// acknowledged before AsOf.
+// Proof states that a log that covers Position has every write acknowledged before
+// AsOf.
 type Proof struct {
 	Position fleet.LogPosition `json:"point"`
 	AsOf     time.Time         `json:"as-of"`
 }
 
-// Prove returns what the statuses prove: the last entry of the primary, as of
-// the earliest of the questions that show it to be the primary and a majority
-// to be at its term. It reports false when no primary has such a majority.
+// Prove returns the proof that the latest statuses give: the position of the
+// primary's last entry, as of the earliest of the status requests whose answers
+// show the primary and a majority at its term. It returns false if no primary has
+// such a majority.
 //
-// It counts from when the questions were sent. Counting from the answers would
-// call data fresh that is as old as the answer took to arrive.
+// Proofs are dated by the time at which a request was sent. Dated by the arrival of
+// the answer, data would seem younger than it is by the time the answer took.
 func (s Snapshot) Prove() (Proof, bool) {
 	primary, ok := s.Find(s.Primary)
 	if !ok {
@@ -75,9 +76,10 @@
 	return Proof{Position: primary.Status.Last, AsOf: asOf}, true
 }
 
-// FencedSince returns the latest moment up to which the statuses show that no
-// primary of a term after n was promoted, and false when they show none: the
-// earliest question of the latest majority that was at n.
+// FencedSince returns the latest time up to which the statuses show that no primary
+// of a term after the given one was promoted, and false if they show none. It is the
+// time of the earliest status request among the majority that was at the given term
+// most recently.
 func (s Snapshot) FencedSince(term fleet.Term) (time.Time, bool) {
 	var sent []time.Time
 	for _, o := range s.Observations {
@@ -93,8 +95,8 @@
 	return sent[need-1], true
 }
 
-// primaryIndex returns the index of the instance that serves as the primary in the
-// highest term, unless a majority is known to have gone on to a later term.
+// primaryIndex returns the index of the unfenced primary of the highest term, and
+// false if there is none or a majority has promised a later term.
 func primaryIndex(observations []Observation) (int, bool) {
 	best := -1
 	for i, o := range observations {
--- a/core/group/roaming_test.go
+++ b/core/group/roaming_test.go
@@ -15,24 +15,24 @@
 	"skylarkdeal/core/session"
 )
 
-// roamer is one session that writes and reads through any host, one request at
-// a time, with its token.
+// roamingSession is a session that writes and reads through any host, one request at a
+// time, with its token.
 type roamingSession struct {
 	reference reference.Database
 	token     session.Token
 	writing   string
 	reading   *read
 	startedAt time.Time
-	// maybe are the writes of which the caller was told that it is unknown
-	// whether they were done.
+	// unknown are the writes whose outcome the caller doesn't know.
 	unknown   fleet.Set[string]
 	readCount int
 }
 
-// patience is how long the session waits for an answer.
+// answerTimeout is how long the session waits for an answer.
 const answerTimeout = 500 * time.Millisecond
 
-// act goes on with the request under way, or starts another through h.
+// step leaves a pending request alone until answerTimeout, and then starts another one
+// through h.
 func (r *roamingSession) step(m *model, h *host, pick func(n int) int) {
 	if m.now.Sub(r.startedAt) < answerTimeout && (r.writing != "" || r.reading != nil) {
 		return
@@ -54,8 +54,8 @@
 	m.send(h, m.instances[pick(len(m.instances))].Name, message{kind: messageRead, read: r.reading})
 }
 
-// look takes up the answer to the request under way and compares a read with
-// what the naive ledger says.
+// checkRead handles the answer to the pending request. It compares the result of a read
+// with that of the reference database.
 func (r *roamingSession) checkRead(m *model) error {
 	if n := len(m.acknowledged); n > 0 && m.acknowledged[n-1].value == r.writing && r.writing != "" {
 		r.reference.Write(r.writing)
@@ -71,13 +71,13 @@
 	r.reading = nil
 	r.token = session.Merge(r.token, pending.answer.Position)
 	if got, want := r.certainValues(pending.log), r.reference.Read(); !slices.Equal(got, want) {
-		return fmt.Errorf("read at %v by a %s: %v, naive: %v", pending.answer.Position, pending.answer.Role, got, want)
+		return fmt.Errorf("read at %v by a %s: %v, reference: %v", pending.answer.Position, pending.answer.Role, got, want)
 	}
 	return nil
 }
 
-// certain returns the values of a log but those of unknown outcome, and the one
-// under way.
+// certainValues returns the values of a log without those of unknown outcome and that
+// of the pending write.
 func (r *roamingSession) certainValues(log []grouptest.Entry) []string {
 	var out []string
 	for _, e := range log {
@@ -88,10 +88,9 @@
 	return out
 }
 
-// A caller with a handheld walks through the cellar and its requests come in
-// through one host after another, while links are cut and primaries change. It
-// has to see what one host with one database would have shown it: all that was
-// confirmed, once and in order.
+// A session sends its requests through one host after another while links are cut and
+// primaries change. Its reads have to return what a single database would: every
+// confirmed write, once and in order.
 func TestRoamingSessionMatchesReferenceDatabase(t *testing.T) {
 	var reads, writes, promoted int
 	rapid.Check(t, func(t *rapid.T) {
@@ -113,6 +112,6 @@
 	})
 	t.Logf("%d reads, %d writes, %d primaries", reads, writes, promoted)
 	if reads < 300 || writes < 300 || promoted < 300 {
-		t.Errorf("%d reads, %d writes, %d primaries: too few to tell anything", reads, writes, promoted)
+		t.Errorf("%d reads, %d writes, %d primaries: too few to be conclusive", reads, writes, promoted)
 	}
 }
--- a/core/group/rules.go
+++ b/core/group/rules.go
@@ -7,16 +7,17 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Rules are the guards on which the safety of a group rests, each of which a
-// test can take out to show that it is needed. The zero Rules are the ones to
-// use.
+// Rules are the decisions on which the safety of a group depends. A test can replace
+// each of them to show that it is needed. The zero value applies the functions of this
+// package.
 type Rules struct {
 	// Majority returns how many of n instances are a majority.
 	Majority func(n int) int
-	// Unfenced is described at the function Unfenced, and so are the others.
-	Unfenced     func(s Observation, t fleet.Term, since time.Time) bool
-	HasEntry     func(s Observation, w fleet.LogPosition) bool
-	Fenced       func(st fleet.Status, err error, t fleet.Term) bool
+	// Unfenced replaces the function Unfenced, and each of the others the function
+	// of its name.
+	Unfenced     func(o Observation, term fleet.Term, since time.Time) bool
+	HasEntry     func(o Observation, write fleet.LogPosition) bool
+	Fenced       func(st fleet.Status, err error, term fleet.Term) bool
 	MostAdvanced func(fenced map[fleet.Instance]fleet.Status, members []fleet.Instance) fleet.Instance
 }
 
@@ -26,36 +27,36 @@
 	return n/2 + 1
 }
 
-// Unfenced reports whether the instance was asked at or after since and had
-// then promised no term but t.
+// Unfenced reports whether the latest status of the instance was requested at or after
+// since and shows term as the highest term that it has promised.
 func Unfenced(o Observation, term fleet.Term, since time.Time) bool {
 	return o.Known() && !o.Sent.Before(since) && o.Status.Promised == term
 }
 
-// HasEntry reports whether the instance's log has the entry at w. An entry of a
-// later term in a log doesn't tell that the log has w: it has to be counted for
-// an instance that was Unfenced at w's term in the same status.
+// HasEntry reports whether the instance's log has the entry at the position write. The
+// result is valid only if the same status shows the instance as Unfenced at the term of
+// write: a log whose last entry is of a later term need not have the entry at write.
 func HasEntry(o Observation, write fleet.LogPosition) bool {
 	return o.Status.Last.Covers(write)
 }
 
-// Fenced reports whether an instance that answered a fence with st or err has
-// promised t to the asker, so that its log can't grow by an entry of an earlier
-// term and no one else can promote in t.
+// Fenced reports whether an instance that answered ActFence with st or err has
+// promised the term to the proposer. Its log then takes no more entries of an earlier
+// term, and no other proposer can promote it in this term.
 func Fenced(st fleet.Status, err error, term fleet.Term) bool {
 	return err == nil && st.Promised == term
 }
 
-// Proposer names one promotion of one process of a host. An instance promises
-// a term to one proposer. A host that restarted under the bare name of its
-// former self would share that promise, and could promote a second instance in
-// the same term, while the former self's order to promote is still on its way.
+// Proposer returns a name for one promotion by one process of a host. An instance
+// promises a term to one proposer. If a host proposed under its host name alone, it
+// would share that promise after a restart, and could promote a second instance in
+// the same term while a promote command of the former process is still in flight.
 func Proposer(h fleet.Host, epoch, attempt uint64) fleet.Host {
 	return fleet.Host(fmt.Sprintf("%s/%x/%d", h, epoch, attempt))
 }
 
-// MostAdvanced returns the instance whose last entry is the highest of those fenced,
-// which has every write that a majority had. The earlier in members wins a tie.
+// MostAdvanced returns the fenced instance with the highest last entry. Its log has
+// every write that a majority had. In a tie the first in the order of members wins.
 func MostAdvanced(fenced map[fleet.Instance]fleet.Status, members []fleet.Instance) fleet.Instance {
 	var best fleet.Instance
 	for _, m := range members {
--- a/core/group/world_check_test.go
+++ b/core/group/world_check_test.go
@@ -9,7 +9,8 @@
 	"skylarkdeal/core/group/grouptest"
 )
 
-// settle answers the callers whose proofs are there.
+// answerCallers ends the writes that a verdict decides and the reads whose needs are
+// satisfied, and checks them.
 func (m *model) answerCallers() error {
 	for _, h := range m.hosts {
 		s := h.group.Snapshot(m.now)
@@ -36,7 +37,8 @@
 	return nil
 }
 
-// replaced checks that no later primary was there when the write committed.
+// checkNotReplaced checks that there was no later primary when the answer to the commit
+// of w arrived.
 func (m *model) checkNotReplaced(w write) error {
 	for term, since := range m.primarySince {
 		if term > w.position.Term && since.Before(w.receivedAt) {
@@ -65,12 +67,13 @@
 	return nil
 }
 
-// stale checks that a read's answer has all that had been acknowledged when the
-// read came in, or by the age that it accepts.
+// checkFresh checks that the answer to a read has its own write if it shows a token, or
+// else every write that had been acknowledged when the read arrived, or before the
+// maximum age that it accepts.
 func (m *model) checkFresh(r *read) error {
 	if r.ownWrite != nil {
 		if !r.ownWrite.lost && !hasWrite(r.log, r.ownWrite.write) {
-			return fmt.Errorf("read at %v by a %s misses its own %v", r.answer.Position, r.answer.Role, r.ownWrite.position)
+			return fmt.Errorf("read at %v by a %s lacks its own write %v", r.answer.Position, r.answer.Role, r.ownWrite.position)
 		}
 		return nil
 	}
@@ -80,7 +83,7 @@
 	}
 	for _, a := range m.acknowledged {
 		if !a.lost && a.acknowledgedAt.Before(bound) && !hasWrite(r.log, a.write) {
-			return fmt.Errorf("read at %v by a %s misses %v", r.answer.Position, r.answer.Role, a.position)
+			return fmt.Errorf("read at %v by a %s lacks the acknowledged write %v", r.answer.Position, r.answer.Role, a.position)
 		}
 	}
 	return nil
@@ -91,8 +94,8 @@
 	return i < len(log) && log[i] == grouptest.Entry{Term: w.position.Term, Value: w.value}
 }
 
-// check checks that a term has one primary, which has every write that was
-// acknowledged in an earlier term.
+// checkPrimaries checks that each term has at most one primary, and that it has every
+// write acknowledged in an earlier term.
 func (m *model) checkPrimaries() error {
 	for _, i := range m.instances {
 		if i.Role != fleet.RolePrimary {
@@ -113,8 +116,8 @@
 	return nil
 }
 
-// inherits checks that the primary of t has the writes that were acknowledged
-// in earlier terms. With acknowledge = primary a promotion may lose them.
+// checkInherited checks that i, the primary of the given term, has the writes that were
+// acknowledged in earlier terms. With acknowledge = primary a promotion may lose them.
 func (m *model) checkInherited(i *grouptest.Instance, term fleet.Term) error {
 	for _, a := range m.acknowledged {
 		if a.lost || a.position.Term >= term || hasWrite(i.Log, a.write) {
--- a/core/group/world_test.go
+++ b/core/group/world_test.go
@@ -13,14 +13,14 @@
 	"skylarkdeal/core/session"
 )
 
-// world is a model of a group, of the hosts before it and of the network in
-// between: messages that are lost, late and crossed, links that are cut, hosts
-// that restart, instances that die and come back, replicas that lag.
+// model simulates a group, its hosts and the network between them: messages are lost,
+// late or out of order, links are cut, hosts restart, instances fail and come back, and
+// replicas lag.
 type model struct {
 	rules       group.Rules
 	acknowledge document.Acknowledge
 	proposer    func(h *host) fleet.Host
-	// stamp returns when a status counts as asked.
+	// askedAt returns the time at which a status counts as requested.
 	askedAt func(sent, heard time.Time) time.Time
 
 	now        time.Time
@@ -30,7 +30,7 @@
 	cut        map[link]bool
 	inFlight   []message
 	writeCount int
-	// session is the only caller if it is set.
+	// session, if set, is the only caller.
 	session *roamingSession
 
 	acknowledged []*acknowledgedWrite
@@ -65,14 +65,14 @@
 	answer   session.Answer
 	log      []grouptest.Entry
 	answered bool
-	// own is the write whose token the read shows.
+	// ownWrite is the write whose token the read shows; nil if it shows none.
 	ownWrite *acknowledgedWrite
 }
 
 type acknowledgedWrite struct {
 	write
 	acknowledgedAt time.Time
-	// lost is set when a later primary lacks the write.
+	// lost is set if a later primary lacks the write.
 	lost bool
 }
 
@@ -85,7 +85,7 @@
 	messageCommand messageKind = "order"
 )
 
-// message is a request on its way, or its answer once answered is set.
+// message is a request in flight, or its answer if answered is set.
 type message struct {
 	kind     messageKind
 	link     link
@@ -103,7 +103,7 @@
 	err      error
 }
 
-// netRoom bounds the messages under way; the oldest is lost beyond it.
+// maxInFlight is the maximum number of messages in flight. Beyond it the oldest is lost.
 const maxInFlight = 80
 
 func newModel(instances, hosts int) *model {
@@ -128,7 +128,7 @@
 	return m
 }
 
-// start has the hosts take up the rules and the document.
+// start configures the hosts with the rules and the document.
 func (m *model) start() {
 	for _, h := range m.hosts {
 		m.restart(h)
@@ -154,7 +154,8 @@
 	return nil
 }
 
-// step lets one thing happen, drawn by pick, which returns a number below n.
+// step performs one event, which it draws by pick, and checks the result. pick returns a
+// number below n.
 func (m *model) step(pick func(n int) int) error {
 	m.now = m.now.Add(time.Millisecond)
 	h := m.hosts[pick(len(m.hosts))]
@@ -219,7 +220,7 @@
 	}
 }
 
-// work has a caller write or read.
+// callerStep makes a caller write or read.
 func (m *model) callerStep(h *host, pick func(n int) int) {
 	switch {
 	case m.session != nil:
@@ -287,7 +288,8 @@
 	}
 }
 
-// deliver delivers any message, so that answers arrive late and crossed.
+// deliver delivers a randomly chosen message, so that answers arrive late and out of
+// order.
 func (m *model) deliver(pick func(n int) int) {
 	if len(m.inFlight) == 0 {
 		return
--- a/core/session/session.go
+++ b/core/session/session.go
@@ -1,5 +1,5 @@
-// Package session decides what a read has to reflect so that its session sees
-// its own work, and whether an answer reflects it.
+// Package session decides which writes a read has to reflect, so that a session
+// reads its own writes, and whether an answer reflects them.
 package session
 
 import (
@@ -10,12 +10,12 @@
 	"skylarkdeal/core/group"
 )
 
-// Token is what a caller's session carries from host to host: the point that
-// its reads have to cover. It holds all there is to know, so that no host keeps
-// state for a session that has roamed away.
+// Token is the log position that a session's reads have to cover. The caller passes
+// it from host to host. It is the whole state of the session's consistency, so that
+// no host keeps state for a session that has gone on to another host.
 type Token = fleet.LogPosition
 
-// Merge returns the token of a session that had a and has learnt b.
+// Merge returns the token that covers both a and b.
 func Merge(a, b Token) Token {
 	if b.Compare(a) > 0 {
 		return b
@@ -23,42 +23,46 @@
 	return a
 }
 
-// Answer is what an instance's answer to a read reflects.
+// Answer describes an instance's answer to a read.
 type Answer struct {
+	// Position is the position of the last log entry that the answer reflects.
 	Position fleet.LogPosition
-	// Role is what the instance was when it answered.
+	// Role is the role of the instance at the time of the answer.
 	Role fleet.Role
 }
 
-// Need is what a read's answer has to reflect. All that is set has to hold.
+// Need states what the answer to a read has to reflect. If After and MaxAge are both
+// set, both have to hold.
 type Need struct {
-	// After is the point to cover: the session's token, or a fresh point that
-	// was obtained in its stead.
+	// After is the log position to cover: the session's token, or the position of
+	// the proof that Resolve took in its place.
 	After fleet.Option[fleet.LogPosition]
-	// MaxAge is the oldest data that will do; zero when the caller states none.
+	// MaxAge is the maximum age of the data; zero if the caller states none.
 	MaxAge time.Duration
-	// Arrived is when the read came in. It counts when neither of the others is
-	// set: the read then has to reflect all that was acknowledged until then.
+	// Arrived is when the read arrived. If neither After nor MaxAge is set, the answer
+	// has to reflect all writes acknowledged before.
 	Arrived time.Time
-	// resolvedTerm is set by Resolve: the term whose primary satisfies the read too,
-	// whatever its point.
+	// resolvedTerm is set by Resolve. An answer of the primary of this term satisfies
+	// After at any log position.
 	resolvedTerm fleet.Option[fleet.Term]
 }
 
-// Needs returns what the answer to q, which arrived at the given time, has to
-// reflect. A caller that shows no token may have written on any other host
-// before, so that all acknowledged writes may be its own.
+// Needs returns the Need of the read q, which arrived at the given time. A caller
+// that shows no token may have written through any other host before, so any
+// acknowledged write may be its own.
 func Needs(q *exchange.Request, arrived time.Time) Need {
 	return Need{After: q.After, MaxAge: q.MaxAge, Arrived: arrived}
 }
 
-// Latest reports whether the read needs a proof that is made after its arrival.
+// Latest reports whether the read states neither a token nor a maximum age. It then
+// needs a proof that is made after its arrival.
 func (n Need) Latest() bool {
 	return !n.After.IsSet() && n.MaxAge == 0
 }
 
-// Resolve returns the need of a Latest read for which a proof was made after
-// its arrival: what the proof covers.
+// Resolve returns the need of a Latest read that p resolves: After is the position of
+// p. It returns n unchanged if n isn't Latest or p is as of a time before the read's
+// arrival.
 func (n Need) Resolve(p group.Proof) Need {
 	if !n.Latest() || p.AsOf.Before(n.Arrived) {
 		return n
@@ -68,13 +72,13 @@
 	return n
 }
 
-// Satisfied reports whether an answer that came in at the given time reflects
-// what the read needs, by what t proves.
+// Satisfied reports whether an answer that arrived at the given time reflects what the
+// read needs, by the proofs of s.
 //
-// It guards against a session that misses its own work, because a replica lags
-// or because a replaced primary on the far side of a cut still answers. The
-// point comes with the answer itself, so that a status of the instance that was
-// read earlier, later or on another connection can't vouch for it.
+// Guards against a session that doesn't read its own writes, because a replica lags or
+// because a replaced primary that is partitioned from the others still answers. The
+// position is part of the answer itself: a status of the instance that was read
+// earlier, later or on another connection doesn't show what the answer reflects.
 func (n Need) Satisfied(a Answer, at time.Time, s group.Snapshot) bool {
 	if after, ok := n.After.Get(); ok && !a.Position.Covers(after) && !n.fromResolvedPrimary(a) {
 		return false
@@ -88,20 +92,22 @@
 	return true
 }
 
-// fromResolvedPrimary reports whether the primary gave the answer to a read that Resolve
-// has turned to a fresh point. The point was read after the read's arrival, but
-// maybe after the read's start at the primary too, and may lie beyond it.
+// fromResolvedPrimary reports whether the answer to a resolved read is that of the
+// primary of resolvedTerm. Such an answer is recent enough although the position of the
+// proof may lie beyond it: that position was read after the read's arrival at the host,
+// but possibly also after the read had started at the primary.
 func (n Need) fromResolvedPrimary(a Answer) bool {
 	term, ok := n.resolvedTerm.Get()
 	return ok && a.Role == fleet.RolePrimary && a.Position.Term == term
 }
 
-// includesWritesBefore reports whether the answer has every write acknowledged before since:
-// it covers the point of a proof made since, or it is that of a primary which a
-// majority has been at the term of since.
+// includesWritesBefore reports whether the answer has every write acknowledged before
+// since. It has them if it covers the position of a proof as of since or later, or if
+// it is that of a primary whose term a majority was still at, as of since or later.
 //
-// A primary's answer is only known to be younger than its read. One that came
-// in late is older than the latest proof, which so can't vouch for it.
+// The second rule applies only to a read that arrived at or after since. An answer of
+// the primary is only known to be younger than its read. If it arrives late, it may be
+// older than the latest proof, which then doesn't show what the answer reflects.
 func (n Need) includesWritesBefore(a Answer, since time.Time, s group.Snapshot) bool {
 	if asOf, ok := s.History.CompleteUntil(a.Position); ok && !asOf.Before(since) {
 		return true
--- a/core/session/session_test.go
+++ b/core/session/session_test.go
@@ -24,9 +24,9 @@
 	return fleet.LogPosition{Term: term, Index: index}
 }
 
-// table returns what a host knows that has asked a, the primary, and b at the
-// given times, each answered 20 ms later with the log growing by one entry a
-// millisecond.
+// snapshot returns the state of a host that requested the status of a, the primary,
+// and of b at the given times in ms. Each answer arrives 20 ms later. The log grows by
+// one entry a millisecond.
 func snapshot(requestTimes ...int) group.Snapshot {
 	var g group.Group
 	g.Configure(start, []document.Instance{{Name: "a"}, {Name: "b"}, {Name: "c"}})
@@ -92,9 +92,8 @@
 			answer: session.Answer{Position: position(1, 10), Role: replica}, requestTimes: []int{10}, satisfied: true,
 		},
 		{
-			// The answer to the question came in at 30 ms, but it is as old as the
-			// question.
-			name: "age counts from the question", need: session.Need{MaxAge: 100 * time.Millisecond, Arrived: at(90)},
+			// The status arrived at 30 ms, but its age counts from the request at 10 ms.
+			name: "age counts from the status request", need: session.Need{MaxAge: 100 * time.Millisecond, Arrived: at(90)},
 			at: 111, answer: session.Answer{Position: position(1, 10), Role: replica}, requestTimes: []int{10},
 		},
 		{
@@ -119,8 +118,8 @@
 	}
 }
 
-// A caller writes through one host, roams to another and reads without a token.
-// A point that was obtained before the read came in may lack its write.
+// A caller writes through one host and reads through another without a token. The
+// position of a proof that was made before the read arrived may lack that write.
 func TestResolveIgnoresProofBeforeArrival(t *testing.T) {
 	c := qt.New(t)
 	n := session.Needs(&exchange.Request{Intent: exchange.IntentRead}, at(30))
@@ -132,7 +131,7 @@
 		group.Snapshot{}), qt.IsTrue)
 	c.Assert(n.Satisfied(session.Answer{Position: position(1, 29), Role: fleet.RoleReplica}, at(40),
 		group.Snapshot{}), qt.IsFalse)
-	// The read reached the primary before the question for the point did.
+	// The read reached the primary before the status request of the proof did.
 	c.Assert(n.Satisfied(session.Answer{Position: position(1, 29), Role: fleet.RolePrimary}, at(40),
 		group.Snapshot{}), qt.IsTrue)
 }
