--- a/core/group/world_test.go
+++ b/core/group/world_test.go
@@ -21,7 +21,7 @@
 	acknowledge document.Acknowledge
 	proposer    func(h *host) fleet.Host
 	// askedAt returns the time at which a status counts as requested.
-	askedAt func(sent, heard time.Time) time.Time
+	askedAt func(sent, received time.Time) time.Time
 
 	now        time.Time
 	instances  []*grouptest.Instance
