--- a/core/group/model_test.go
+++ b/core/group/model_test.go
@@ -16,17 +16,17 @@
 )
 
 func TestMain(m *testing.M) {
-	// The same verdict each run; the command line may still set another seed.
+	// A fixed seed gives the same result in each run. The command line can set another.
 	_ = flag.Set("rapid.seed", "1202")
 	_ = flag.Set("rapid.nofailfile", "true")
 	_ = flag.Set("rapid.shrinktime", "5s")
 	os.Exit(m.Run())
 }
 
-// A caller has its order confirmed, the primary dies, and the order is gone; or
-// it reads on another host and doesn't find it. Between the two, links are cut,
-// hosts restart in the middle of a promotion, answers are lost and come in late
-// and crossed, and several hosts promote at once.
+// Guards against a write that is acknowledged and then lost when the primary fails, and
+// against a read through another host that misses it. Meanwhile links are cut, hosts
+// restart during a promotion, answers are lost, late or out of order, and several hosts
+// promote at the same time.
 func TestModelKeepsAcknowledgedWrites(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		for _, rule := range []document.Acknowledge{document.AcknowledgeReplicated, document.AcknowledgePrimary} {
@@ -34,13 +34,13 @@
 				t.Parallel()
 				stats := make(map[string]int)
 				rapid.Check(t, func(t *rapid.T) {
-					w := newWorld(n, 3)
-					w.rule = rule
-					w.start()
-					w.stats = stats
+					m := newModel(n, 3)
+					m.acknowledge = rule
+					m.start()
+					m.stats = stats
 					pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
 					for range 2000 {
-						if err := w.step(pick); err != nil {
+						if err := m.step(pick); err != nil {
 							t.Fatal(err)
 						}
 					}
@@ -48,7 +48,7 @@
 				t.Logf("%v", stats)
 				for _, k := range []string{"acknowledged", "unknown", "promoted", "read by replica", "read by primary"} {
 					if stats[k] < 300 {
-						t.Errorf("%d × %s: too few for the test to tell anything", stats[k], k)
+						t.Errorf("%d × %s: too few to be conclusive", stats[k], k)
 					}
 				}
 			})
@@ -56,37 +56,37 @@
 	}
 }
 
-func run(w *world, seed uint64, steps int) error {
+func runSteps(m *model, seed uint64, steps int) error {
 	r := rand.New(rand.NewPCG(seed, 1))
 	for n := range steps {
-		if err := w.step(r.IntN); err != nil {
+		if err := m.step(r.IntN); err != nil {
 			return fmt.Errorf("seed %d step %d: %w", seed, n, err)
 		}
 	}
 	return nil
 }
 
-// TestModelFindsEveryMissingGuard takes out one guard at a time. A model that
-// still held would not be testing that guard.
+// TestModelFindsEveryMissingGuard removes one rule at a time and expects the model to
+// report a fault. A model that reports none doesn't test that rule.
 func TestModelFindsEveryMissingGuard(t *testing.T) {
-	unfenced := func(f func(s group.Observation, n fleet.Term, since time.Time) bool) group.Rules {
+	unfenced := func(f func(o group.Observation, n fleet.Term, since time.Time) bool) group.Rules {
 		return group.Rules{Unfenced: f}
 	}
 	tests := []struct {
 		guard string
 		rules group.Rules
-		set   func(w *world)
+		set   func(m *model)
 	}{
 		{guard: "majority", rules: group.Rules{Majority: func(n int) int { return n / 2 }}},
-		{guard: "promised term", rules: unfenced(func(s group.Observation, _ fleet.Term, since time.Time) bool {
-			return s.Known() && !s.Sent.Before(since)
+		{guard: "promised term", rules: unfenced(func(o group.Observation, _ fleet.Term, since time.Time) bool {
+			return o.Known() && !o.Sent.Before(since)
 		})},
 		{
 			guard: "asked after the commit",
-			rules: unfenced(func(s group.Observation, n fleet.Term, _ time.Time) bool {
-				return s.Known() && s.Status.Promised == n
+			rules: unfenced(func(o group.Observation, n fleet.Term, _ time.Time) bool {
+				return o.Known() && o.Status.Promised == n
 			}),
-			set: func(w *world) { w.rule = document.AcknowledgePrimary },
+			set: func(m *model) { m.acknowledge = document.AcknowledgePrimary },
 		},
 		{guard: "holds the write", rules: group.Rules{HasEntry: func(group.Observation, fleet.LogPosition) bool {
 			return true
@@ -104,29 +104,29 @@
 				return ""
 			},
 		}},
-		{guard: "unique proposer", set: func(w *world) {
-			w.proposer = func(h *host) fleet.Host { return fleet.Host(fmt.Sprint(h.index)) }
+		{guard: "unique proposer", set: func(m *model) {
+			m.proposer = func(h *host) fleet.Host { return fleet.Host(fmt.Sprint(h.index)) }
 		}},
-		{guard: "age from the question", set: func(w *world) {
-			w.stamp = func(_, heard time.Time) time.Time { return heard }
+		{guard: "age from the status request", set: func(m *model) {
+			m.askedAt = func(_, received time.Time) time.Time { return received }
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.guard, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(400) {
-				w := newWorld(3, 3)
-				w.rules = tt.rules
+				m := newModel(3, 3)
+				m.rules = tt.rules
 				if tt.set != nil {
-					tt.set(w)
+					tt.set(m)
 				}
-				w.start()
-				if err := run(w, seed, 2000); err != nil {
+				m.start()
+				if err := runSteps(m, seed, 2000); err != nil {
 					t.Logf("found: %v", err)
 					return
 				}
 			}
-			t.Fatal("the model holds without the guard")
+			t.Fatal("the model reports no fault without the guard")
 		})
 	}
 }
--- a/core/place/sim_test.go
+++ b/core/place/sim_test.go
@@ -139,7 +139,7 @@
 	default:
 		r.class = "blind"
 	}
-	r.facts = place.RequestInfo{Intent: q.Intent, Need: session.Needs(q, s.now)}
+	r.facts = place.RequestInfo{Intent: q.Intent, Need: session.NeedOf(q, s.now)}
 	if q.Intent == exchange.IntentRead && s.rand.Float64() < s.load.long {
 		r.facts.Long, r.class = true, "long"
 	}
--- a/io/groupmonitor/change.go
+++ b/io/groupmonitor/change.go
@@ -113,7 +113,7 @@
 	if p == nil {
 		return
 	}
-	s.dispatch(p.Done(now, d.order, d.status, d.err))
+	s.dispatch(p.HandleAnswer(now, d.order, d.status, d.err))
 	s.conclude(now)
 }
 
