--- a/core/admit/history.go
+++ b/core/admit/history.go
@@ -6,74 +6,74 @@
 	"skylarkdeal/core/fleet"
 )
 
-// kind names statements whose slot times are taken to be alike.
-type kind struct {
+// statementKind names statements whose slot times are taken to be alike.
+type statementKind struct {
 	account fleet.Account
 	lane    int
 	kind    uint64
 }
 
-// history learns how long exchanges hold a slot.
-type history struct {
-	kinds map[kind]time.Duration
-	all   time.Duration
-	// short follows the slot times of a lane's quickest statements: fast
+// slotTimes learns how long exchanges hold a slot.
+type slotTimes struct {
+	kinds map[statementKind]time.Duration
+	average   time.Duration
+	// baseline follows the slot times of a lane's quickest statements: fast
 	// downwards, slowly upwards, so that long ones hardly move it. Lanes differ,
 	// as a slow primary makes all writes slow, and none long beside the others.
-	short [2]time.Duration
+	baseline [2]time.Duration
 }
 
 const (
-	// firstGuess stands for the slot time of a group that has finished nothing.
-	firstGuess = time.Millisecond
-	// keepKinds bounds the memory of a history; a fuller one starts anew.
-	keepKinds = 4096
-	// weightOfNew is the part that a new slot time has in the moving average:
+	// initialSlotTime stands for the slot time of a group that has finished nothing.
+	initialSlotTime = time.Millisecond
+	// maxKinds bounds the memory of a history; a fuller one starts anew.
+	maxKinds = 4096
+	// averageDivisor is the part that a new slot time has in the moving average:
 	// a quarter follows a change within about eight statements.
-	weightOfNew = 4
-	// weightUpwards is the same for a slot time above the shortest ones.
-	weightUpwards = 256
-	// longTimes is how many times the usual slot time makes an exchange long,
+	averageDivisor = 4
+	// baselineRiseDivisor is the same for a slot time above the shortest ones.
+	baselineRiseDivisor = 256
+	// longFactor is how many times the usual slot time makes an exchange long,
 	// so that a group whose statements are all slow has no long ones.
-	longTimes = 4
+	longFactor = 4
 )
 
-func (h *history) add(i Item, took time.Duration) {
-	if h.kinds == nil || len(h.kinds) >= keepKinds {
-		h.kinds = map[kind]time.Duration{}
+func (h *slotTimes) add(i Item, took time.Duration) {
+	if h.kinds == nil || len(h.kinds) >= maxKinds {
+		h.kinds = map[statementKind]time.Duration{}
 	}
-	h.all = blend(h.all, took)
-	l := lane(i.Intent)
-	if h.short[l] == 0 || took < h.short[l] {
-		h.short[l] = blend(h.short[l], took)
+	h.average = movingAverage(h.average, took)
+	l := laneOf(i.Intent)
+	if h.baseline[l] == 0 || took < h.baseline[l] {
+		h.baseline[l] = movingAverage(h.baseline[l], took)
 	} else {
-		h.short[l] += (took - h.short[l]) / weightUpwards
+		h.baseline[l] += (took - h.baseline[l]) / baselineRiseDivisor
 	}
-	k := kind{i.Account, lane(i.Intent), i.TextHash}
-	h.kinds[k] = blend(h.kinds[k], took)
+	k := statementKind{i.Account, laneOf(i.Intent), i.TextHash}
+	h.kinds[k] = movingAverage(h.kinds[k], took)
 }
 
-func blend(old, v time.Duration) time.Duration {
+func movingAverage(old, v time.Duration) time.Duration {
 	if old == 0 {
 		return v
 	}
-	return old + (v-old)/weightOfNew
+	return old + (v-old)/averageDivisor
 }
 
-// expect returns the slot time that i is expected to take.
-func (h *history) expect(i Item) time.Duration {
-	if d, ok := h.kinds[kind{i.Account, lane(i.Intent), i.TextHash}]; ok {
+// estimate returns the slot time that i is expected to take.
+func (h *slotTimes) estimate(i Item) time.Duration {
+	if d, ok := h.kinds[statementKind{i.Account, laneOf(i.Intent), i.TextHash}]; ok {
 		return d
 	}
-	if h.all > 0 {
-		return h.all
+	if h.average > 0 {
+		return h.average
 	}
-	return firstGuess
+	return initialSlotTime
 }
 
-// long reports whether i is expected to hold its slot for much longer than
+// isLong reports whether i is expected to hold its slot for much longer than
 // others. Work of an unknown kind counts as short until it has been seen once.
-func (h *history) long(i Item, after time.Duration) bool {
-	d, ok := h.kinds[kind{i.Account, lane(i.Intent), i.TextHash}]
-	return ok && d >= after && d >= longTimes*h.short[lane(i.Intent)]
+func (h *slotTimes) isLong(i Item, after time.Duration) bool {
+	d, ok := h.kinds[statementKind{i.Account, laneOf(i.Intent), i.TextHash}]
+	return ok && d >= after && d >= longFactor*h.baseline[laneOf(i.Intent)]
 }
--- a/core/admit/next.go
+++ b/core/admit/next.go
@@ -19,16 +19,16 @@
 	if i, ok := q.nextPinned(now, fits); ok {
 		return i, true
 	}
-	a, l := q.choose(now, fits)
+	a, l := q.nextAccount(now, fits)
 	if a == nil {
 		return Item{}, false
 	}
 	w := a.lanes[l][0]
 	a.lanes[l] = a.lanes[l][1:]
-	a.backlog[l] -= w.expect
-	q.virtual = max(q.virtual, a.tag)
-	a.tag += w.expect.Seconds() / a.weight
-	q.moved[l] = now
+	a.backlog[l] -= w.expected
+	q.virtualTime = max(q.virtualTime, a.startTag)
+	a.startTag += w.expected.Seconds() / a.weight
+	q.lastStart[l] = now
 	return q.start(a, w), true
 }
 
@@ -39,39 +39,39 @@
 		}
 		q.pinned = slices.Delete(q.pinned, n, n+1)
 		a := q.account(w.Item)
-		a.tag = max(a.tag, q.virtual) + w.expect.Seconds()/a.weight
+		a.startTag = max(a.startTag, q.virtualTime) + w.expected.Seconds()/a.weight
 		return q.start(a, w), true
 	}
 	return Item{}, false
 }
 
-// choose returns the account with the lowest tag and the lane whose first item
+// nextAccount returns the account with the lowest tag and the lane whose first item
 // may start. Of two lanes that may, the one whose item has waited longer goes.
-func (q *Queue) choose(now time.Time, fits func(Item) bool) (*account, int) {
+func (q *Queue) nextAccount(now time.Time, fits func(Item) bool) (*account, int) {
 	var best *account
-	var from int
+	var lane int
 	for _, a := range q.accounts {
-		if best != nil && !before(a, best) {
+		if best != nil && !lessByTag(a, best) {
 			continue
 		}
-		if l, ok := q.eligible(now, a, fits); ok {
-			best, from = a, l
+		if l, ok := q.startableLane(now, a, fits); ok {
+			best, lane = a, l
 		}
 	}
-	return best, from
+	return best, lane
 }
 
-// before orders accounts by tag, and equal tags by name to stay deterministic.
-func before(a, b *account) bool {
-	if a.tag != b.tag {
-		return a.tag < b.tag
+// lessByTag orders accounts by tag, and equal tags by name to stay deterministic.
+func lessByTag(a, b *account) bool {
+	if a.startTag != b.startTag {
+		return a.startTag < b.startTag
 	}
 	return a.name < b.name
 }
 
-func (q *Queue) eligible(now time.Time, a *account, fits func(Item) bool) (int, bool) {
+func (q *Queue) startableLane(now time.Time, a *account, fits func(Item) bool) (int, bool) {
 	lanes := [2]int{laneWrite, laneRead}
-	if w, r := a.lanes[laneWrite], a.lanes[laneRead]; len(w) > 0 && len(r) > 0 && r[0].since.Before(w[0].since) {
+	if w, r := a.lanes[laneWrite], a.lanes[laneRead]; len(w) > 0 && len(r) > 0 && r[0].enqueuedAt.Before(w[0].enqueuedAt) {
 		lanes = [2]int{laneRead, laneWrite}
 	}
 	for _, l := range lanes {
@@ -82,8 +82,8 @@
 		if expired(now, w.Item) {
 			continue
 		}
-		w.Long = q.history.long(w.Item, q.limits().LongAfter)
-		if w.Long && !q.roomForLong(w.Intent) {
+		w.Long = q.slotTimes.isLong(w.Item, q.limits().LongAfter)
+		if w.Long && !q.mayStartLong(w.Intent) {
 			continue
 		}
 		if fits(w.Item) {
@@ -93,13 +93,13 @@
 	return 0, false
 }
 
-// roomForLong reports whether one more long item leaves a slot for short work.
+// mayStartLong reports whether one more long item leaves a slot for short work.
 //
 // The limit is made for a mix of long and short work: without it two reports
 // take both slots of the primary, and each short order behind them waits for as
 // long as a report runs. One slot less for long work costs it at most its own
 // share of time. With a single slot there is none to leave.
-func (q *Queue) roomForLong(i exchange.Intent) bool {
+func (q *Queue) mayStartLong(i exchange.Intent) bool {
 	l := q.limits()
 	if l.Slots > 1 && q.long >= l.Slots-1 {
 		return false
@@ -108,16 +108,16 @@
 }
 
 // start counts w as running.
-func (q *Queue) start(a *account, w waiting) Item {
+func (q *Queue) start(a *account, w waitingItem) Item {
 	q.waiting--
-	q.backlog[lane(w.Intent)] -= w.expect
+	q.backlog[laneOf(w.Intent)] -= w.expected
 	a.running++
-	q.busy[lane(w.Intent)]++
-	q.occupied[lane(w.Intent)] += w.expect
+	q.runningInLane[laneOf(w.Intent)]++
+	q.runningTime[laneOf(w.Intent)] += w.expected
 	if w.Long {
 		q.countLong(w.Item, 1)
 	}
-	q.running[w.Key] = started{account: a, item: w.Item, expect: w.expect}
+	q.running[w.Key] = runningItem{account: a, item: w.Item, expected: w.expected}
 	return w.Item
 }
 
@@ -139,23 +139,23 @@
 	}
 	delete(q.running, key)
 	s.account.running--
-	q.busy[lane(s.item.Intent)]--
-	q.occupied[lane(s.item.Intent)] -= s.expect
-	s.account.tag += (took - s.expect).Seconds() / s.account.weight
+	q.runningInLane[laneOf(s.item.Intent)]--
+	q.runningTime[laneOf(s.item.Intent)] -= s.expected
+	s.account.startTag += (took - s.expected).Seconds() / s.account.weight
 	if s.item.Long {
 		q.countLong(s.item, -1)
 	}
 	if took > 0 {
-		q.history.add(s.item, took)
+		q.slotTimes.add(s.item, took)
 	}
-	q.forget(s.account)
+	q.dropIdle(s.account)
 }
 
 // Remove takes a waiting item out, for a caller that is gone or cancels. It
 // reports whether the item was waiting and so has not been run.
 func (q *Queue) Remove(key uint64) bool {
-	gone := q.remove(func(w waiting) bool { return w.Key == key })
-	return len(gone) > 0
+	removed := q.remove(func(w waitingItem) bool { return w.Key == key })
+	return len(removed) > 0
 }
 
 // Expire takes out the items that can't be finished in time any more. They are
@@ -163,11 +163,11 @@
 // time that is left to ask again, and no slot works for an answer that nobody
 // waits for.
 func (q *Queue) Expire(now time.Time) []Expired {
-	gone := q.remove(func(w waiting) bool { return late(now, w.need, w.Deadline) })
-	q.refused += len(gone)
-	out := make([]Expired, len(gone))
-	for n, w := range gone {
-		l := lane(w.Intent)
+	expired := q.remove(func(w waitingItem) bool { return missesDeadline(now, w.required, w.Deadline) })
+	q.refused += len(expired)
+	out := make([]Expired, len(expired))
+	for n, w := range expired {
+		l := laneOf(w.Intent)
 		after := q.backlog[l] / time.Duration(q.slots(l))
 		out[n] = Expired{Item: w.Item, Refusal: refusal("the deadline can't be met", after)}
 	}
@@ -176,42 +176,42 @@
 
 // expired reports whether i's deadline has passed, whatever it would take.
 func expired(now time.Time, i Item) bool {
-	return late(now, 0, i.Deadline)
+	return missesDeadline(now, 0, i.Deadline)
 }
 
 // remove takes out the waiting items that match.
-func (q *Queue) remove(match func(waiting) bool) []waiting {
-	var gone []waiting
-	q.pinned, gone = split(q.pinned, match, gone)
+func (q *Queue) remove(match func(waitingItem) bool) []waitingItem {
+	var removed []waitingItem
+	q.pinned, removed = extract(q.pinned, match, removed)
 	for _, a := range q.accounts {
-		before := len(gone)
+		before := len(removed)
 		for l := range a.lanes {
-			a.lanes[l], gone = split(a.lanes[l], match, gone)
+			a.lanes[l], removed = extract(a.lanes[l], match, removed)
 		}
-		for _, w := range gone[before:] {
-			a.backlog[lane(w.Intent)] -= w.expect
+		for _, w := range removed[before:] {
+			a.backlog[laneOf(w.Intent)] -= w.expected
 		}
-		q.forget(a)
+		q.dropIdle(a)
 	}
-	for _, w := range gone {
-		q.backlog[lane(w.Intent)] -= w.expect
+	for _, w := range removed {
+		q.backlog[laneOf(w.Intent)] -= w.expected
 	}
-	q.waiting -= len(gone)
-	slices.SortFunc(gone, func(a, b waiting) int { return a.since.Compare(b.since) })
-	return gone
+	q.waiting -= len(removed)
+	slices.SortFunc(removed, func(a, b waitingItem) int { return a.enqueuedAt.Compare(b.enqueuedAt) })
+	return removed
 }
 
-// split moves the items of w that match to gone.
-func split(w []waiting, match func(waiting) bool, gone []waiting) (kept, out []waiting) {
+// extract moves the items of w that match to gone.
+func extract(w []waitingItem, match func(waitingItem) bool, extracted []waitingItem) (kept, out []waitingItem) {
 	if !slices.ContainsFunc(w, match) {
-		return w, gone
+		return w, extracted
 	}
 	for _, e := range w {
 		if match(e) {
-			gone = append(gone, e)
+			extracted = append(extracted, e)
 			continue
 		}
 		kept = append(kept, e)
 	}
-	return kept, gone
+	return kept, extracted
 }
--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -70,20 +70,20 @@
 	Refusal *failure.Refusal
 }
 
-// waiting is an item with the slot time that it is expected to take.
-type waiting struct {
+// waitingItem is an item with the slot time that it is expected to take.
+type waitingItem struct {
 	Item
-	since  time.Time
-	expect time.Duration
-	// need is the part of expect that is held against the deadline.
-	need time.Duration
+	enqueuedAt  time.Time
+	expected time.Duration
+	// required is the part of expect that is held against the deadline.
+	required time.Duration
 }
 
-// started is an item that has a slot.
-type started struct {
+// runningItem is an item that has a slot.
+type runningItem struct {
 	account *account
 	item    Item
-	expect  time.Duration
+	expected  time.Duration
 }
 
 // account is the state of one client account.
@@ -92,9 +92,9 @@
 	weight float64
 	// lanes holds the waiting items by intent, so that a write that waits for
 	// the primary doesn't hold up the reads behind it.
-	lanes [2][]waiting
-	// tag is the virtual time at which the account's next item starts.
-	tag float64
+	lanes [2][]waitingItem
+	// startTag is the virtual time at which the account's next item starts.
+	startTag float64
 	// backlog is the slot time that the waiting items of a lane are expected to
 	// take.
 	backlog [2]time.Duration
@@ -106,7 +106,7 @@
 	laneRead
 )
 
-func lane(i exchange.Intent) int {
+func laneOf(i exchange.Intent) int {
 	if i == exchange.IntentRead {
 		return laneRead
 	}
@@ -123,19 +123,19 @@
 	Limits Limits
 
 	accounts map[fleet.Account]*account
-	pinned   []waiting
-	running  map[uint64]started
-	history  history
-	// virtual is the tag of the item started last.
-	virtual float64
+	pinned   []waitingItem
+	running  map[uint64]runningItem
+	slotTimes  slotTimes
+	// virtualTime is the tag of the item started last.
+	virtualTime float64
 	waiting int
 	backlog [2]time.Duration
-	// moved is when something of a lane last started, or came to an empty lane.
-	moved [2]time.Time
-	// busy counts the running items of a lane, occupied adds up their expected
+	// lastStart is when something of a lane last started, or came to an empty lane.
+	lastStart [2]time.Time
+	// runningInLane counts the running items of a lane, occupied adds up their expected
 	// slot times.
-	busy     [2]int
-	occupied [2]time.Duration
+	runningInLane     [2]int
+	runningTime [2]time.Duration
 	// long counts the running long items: all of them, and the writes.
 	long, longWrites int
 	refused          int
@@ -151,37 +151,37 @@
 // open transaction is always taken: it holds a connection that others wait for,
 // and a caller has only one of them at a time.
 func (q *Queue) Enqueue(now time.Time, i Item) EnqueueResult {
-	w := waiting{Item: i, since: now, expect: q.history.expect(i)}
-	w.need = need(now, w)
+	w := waitingItem{Item: i, enqueuedAt: now, expected: q.slotTimes.estimate(i)}
+	w.required = requiredTime(now, w)
 	if i.Pinned {
 		q.pinned = append(q.pinned, w)
 		q.waiting++
-		q.backlog[lane(i.Intent)] += w.expect
+		q.backlog[laneOf(i.Intent)] += w.expected
 		return EnqueueResult{}
 	}
 	a := q.account(i)
-	if r := q.refuse(now, a, w); r != nil {
+	if r := q.checkLimits(now, a, w); r != nil {
 		q.refused++
-		q.forget(a)
+		q.dropIdle(a)
 		return EnqueueResult{Refusal: r}
 	}
 	if a.len() == 0 {
-		a.tag = max(a.tag, q.virtual)
+		a.startTag = max(a.startTag, q.virtualTime)
 	}
-	l := lane(i.Intent)
+	l := laneOf(i.Intent)
 	if q.backlog[l] == 0 {
-		q.moved[l] = now
+		q.lastStart[l] = now
 	}
 	a.lanes[l] = append(a.lanes[l], w)
-	a.backlog[l] += w.expect
-	q.backlog[l] += w.expect
+	a.backlog[l] += w.expected
+	q.backlog[l] += w.expected
 	q.waiting++
 	return EnqueueResult{}
 }
 
-// refuse returns why w can't wait, or nil.
-func (q *Queue) refuse(now time.Time, a *account, w waiting) *failure.Refusal {
-	wait := max(q.wait(a, lane(w.Intent)), q.standstill(now, lane(w.Intent)))
+// checkLimits returns why w can't wait, or nil.
+func (q *Queue) checkLimits(now time.Time, a *account, w waitingItem) *failure.Refusal {
+	wait := max(q.expectedWait(a, laneOf(w.Intent)), q.stalledFor(now, laneOf(w.Intent)))
 	switch {
 	case a.len() >= q.limits().PerAccount:
 		return refusal("the account's queue is full", wait)
@@ -189,14 +189,14 @@
 		return refusal("the queue of the service is full", wait)
 	case q.waiting >= q.limits().Total+q.limits().PerAccount:
 		return refusal("the queue of the service is full", wait)
-	case late(now, wait+wait/waitMargin+2*w.need, w.Deadline):
-		return refusal("the deadline can't be met", wait+2*w.need-w.Deadline.Sub(now))
+	case missesDeadline(now, wait+wait/waitMarginDivisor+2*w.required, w.Deadline):
+		return refusal("the deadline can't be met", wait+2*w.required-w.Deadline.Sub(now))
 	}
 	return nil
 }
 
-// late reports whether work that takes d from now on ends after the deadline.
-func late(now time.Time, d time.Duration, deadline time.Time) bool {
+// missesDeadline reports whether work that takes d from now on ends after the deadline.
+func missesDeadline(now time.Time, d time.Duration, deadline time.Time) bool {
 	return !deadline.IsZero() && now.Add(d).After(deadline)
 }
 
@@ -216,11 +216,11 @@
 func (q *Queue) account(i Item) *account {
 	if q.accounts == nil {
 		q.accounts = map[fleet.Account]*account{}
-		q.running = map[uint64]started{}
+		q.running = map[uint64]runningItem{}
 	}
 	a := q.accounts[i.Account]
 	if a == nil {
-		a = &account{name: i.Account, tag: q.virtual}
+		a = &account{name: i.Account, startTag: q.virtualTime}
 		q.accounts[i.Account] = a
 	}
 	a.weight = i.Weight
@@ -230,11 +230,11 @@
 	return a
 }
 
-// forget drops an account that has nothing waiting or running and is owed no
+// dropIdle drops an account that has nothing waiting or running and is owed no
 // share, so that the map doesn't grow with every account ever seen. One whose
 // tag is ahead stays, lest it shed what it has used by going away.
-func (q *Queue) forget(a *account) {
-	if a.len() == 0 && a.running == 0 && a.tag <= q.virtual {
+func (q *Queue) dropIdle(a *account) {
+	if a.len() == 0 && a.running == 0 && a.startTag <= q.virtualTime {
 		delete(q.accounts, a.name)
 	}
 }
@@ -242,19 +242,19 @@
 // limits returns the limits with the defaults filled in.
 func (q *Queue) limits() Limits {
 	l := q.Limits
-	l.PerAccount = either(l.PerAccount, DefaultPerAccount)
-	l.Total = either(l.Total, DefaultTotal)
-	l.Slots = either(l.Slots, DefaultSlots)
-	l.WriteSlots = either(l.WriteSlots, min(DefaultWriteSlots, l.Slots))
-	l.LongAfter = either(l.LongAfter, DefaultLongAfter)
+	l.PerAccount = orDefault(l.PerAccount, DefaultPerAccount)
+	l.Total = orDefault(l.Total, DefaultTotal)
+	l.Slots = orDefault(l.Slots, DefaultSlots)
+	l.WriteSlots = orDefault(l.WriteSlots, min(DefaultWriteSlots, l.Slots))
+	l.LongAfter = orDefault(l.LongAfter, DefaultLongAfter)
 	return l
 }
 
-func either[T int | time.Duration](v, other T) T {
+func orDefault[T int | time.Duration](v, fallback T) T {
 	if v > 0 {
 		return v
 	}
-	return other
+	return fallback
 }
 
 // Len returns how many items wait.
--- a/core/quota/clock.go
+++ b/core/quota/clock.go
@@ -11,9 +11,9 @@
 // that has ended; its wall clock has moved on by then. The zero SuspendAwareClock works, and
 // is safe for concurrent use.
 type SuspendAwareClock struct {
-	// ahead is the furthest that the wall clock was ever ahead of the monotonic
+	// maxAhead is the furthest that the wall clock was ever maxAhead of the monotonic
 	// one. It never falls, so the time never goes back when the wall clock does.
-	ahead atomic.Int64
+	maxAhead atomic.Int64
 }
 
 // Elapsed returns the time since the process started, by which all that this host
@@ -23,11 +23,11 @@
 func (c *SuspendAwareClock) Elapsed(wall, monotonic time.Duration) time.Duration {
 	ahead := int64(wall - monotonic)
 	for {
-		v := c.ahead.Load()
-		if ahead <= v {
-			return monotonic + time.Duration(v)
+		recorded := c.maxAhead.Load()
+		if ahead <= recorded {
+			return monotonic + time.Duration(recorded)
 		}
-		if c.ahead.CompareAndSwap(v, ahead) {
+		if c.maxAhead.CompareAndSwap(recorded, ahead) {
 			return monotonic + time.Duration(ahead)
 		}
 	}
--- a/core/quota/demand.go
+++ b/core/quota/demand.go
@@ -8,32 +8,32 @@
 // demand follows how many tokens a second are taken.
 type demand struct {
 	perSecond float64
-	seen      int64
-	at        time.Time
-	last      time.Time
+	takenBefore      int64
+	updatedAt        time.Time
+	lastTakenAt      time.Time
 }
 
 // demandWindow is the time constant of the moving average.
 const demandWindow = 200 * time.Millisecond
 
 func (d *demand) update(now time.Time, taken int64) {
-	if d.at.IsZero() {
-		d.at, d.last = now, now
+	if d.updatedAt.IsZero() {
+		d.updatedAt, d.lastTakenAt = now, now
 	}
-	dt := now.Sub(d.at)
+	dt := now.Sub(d.updatedAt)
 	if dt < demandWindow/20 {
 		return
 	}
-	n := float64(taken - d.seen)
+	n := float64(taken - d.takenBefore)
 	if n > 0 {
-		d.last = now
+		d.lastTakenAt = now
 	}
-	keep := math.Exp(-dt.Seconds() / demandWindow.Seconds())
-	d.perSecond = d.perSecond*keep + n/dt.Seconds()*(1-keep)
-	d.seen, d.at = taken, now
+	decay := math.Exp(-dt.Seconds() / demandWindow.Seconds())
+	d.perSecond = d.perSecond*decay + n/dt.Seconds()*(1-decay)
+	d.takenBefore, d.updatedAt = taken, now
 }
 
 // idle reports whether nothing was taken for a while.
 func (d *demand) idle(now time.Time) bool {
-	return now.Sub(d.last) > demandWindow
+	return now.Sub(d.lastTakenAt) > demandWindow
 }
--- a/core/quota/home.go
+++ b/core/quota/home.go
@@ -40,12 +40,12 @@
 	RetryAfter time.Duration
 }
 
-// outstanding is a grant that may still be spent.
-type outstanding struct {
+// outstandingGrant is a grant that may still be spent.
+type outstandingGrant struct {
 	id    GrantID
-	to    fleet.Host
+	spender    fleet.Host
 	left  Tokens
-	until time.Time
+	expiresAt time.Time
 }
 
 // Home grants one data centre's share of one account's rate. The zero Home
@@ -60,14 +60,14 @@
 	version document.Version
 	share   Share
 	level   float64
-	// from is the time up to which the level has grown.
-	from    time.Time
-	out     []outstanding
+	// refilledAt is the time up to which the level has grown.
+	refilledAt    time.Time
+	outstanding     []outstandingGrant
 	lastID  GrantID
 	started bool
-	// later is the share that takes the place of share at listed.
-	later  Share
-	listed time.Time
+	// nextShare is the share that takes the place of share at listed.
+	nextShare  Share
+	nextShareAt time.Time
 }
 
 // Start begins a tenure at now with the given share. The bucket begins to grow
@@ -77,7 +77,7 @@
 // or the whole burst where nobody can have granted before. The caller has made
 // sure that no predecessor grants any more (see Ownership), and uses a level once.
 func (h *Home) Start(now time.Time, v document.Version, s Share, id GrantID, level float64) {
-	*h = Home{version: v, share: s, later: s, from: now.Add(GrantCountedFor), lastID: id, started: true}
+	*h = Home{version: v, share: s, nextShare: s, refilledAt: now.Add(GrantCountedFor), lastID: id, started: true}
 	h.level = max(0, min(level, s.Burst))
 }
 
@@ -99,49 +99,49 @@
 	if v <= h.version {
 		return
 	}
-	h.grow(now)
-	h.version, h.later = v, s
+	h.refill(now)
+	h.version, h.nextShare = v, s
 	if !sameList {
-		h.listed = now.Add(ShareIncreaseDelay)
+		h.nextShareAt = now.Add(ShareIncreaseDelay)
 	}
-	h.settle(now)
-	h.trim()
+	h.applyNextShare(now)
+	h.capLevel()
 }
 
-// settle puts the later share in effect, or of it what isn't more than before.
-func (h *Home) settle(now time.Time) {
-	if now.Before(h.listed) {
-		h.share = Share{Rate: min(h.share.Rate, h.later.Rate), Burst: min(h.share.Burst, h.later.Burst)}
+// applyNextShare puts the later share in effect, or of it what isn't more than before.
+func (h *Home) applyNextShare(now time.Time) {
+	if now.Before(h.nextShareAt) {
+		h.share = Share{Rate: min(h.share.Rate, h.nextShare.Rate), Burst: min(h.share.Burst, h.nextShare.Burst)}
 		return
 	}
-	h.share = h.later
+	h.share = h.nextShare
 }
 
-// grow adds what has accrued since the last call. A clock that steps back adds
+// refill adds what has accrued since the last call. A clock that steps back adds
 // nothing. What can't be kept is lost, as in any bucket that is full.
-func (h *Home) grow(now time.Time) {
-	h.expire(now)
-	if d := now.Sub(h.from); d > 0 {
+func (h *Home) refill(now time.Time) {
+	h.dropExpired(now)
+	if d := now.Sub(h.refilledAt); d > 0 {
 		h.level += h.share.Rate * d.Seconds()
-		h.from = now
+		h.refilledAt = now
 	}
-	h.settle(now)
-	h.trim()
+	h.applyNextShare(now)
+	h.capLevel()
 }
 
-// trim keeps level + outstanding within the burst.
-func (h *Home) trim() {
-	h.level = max(0, min(h.level, h.share.Burst-float64(h.outstanding())))
+// capLevel keeps level + outstanding within the burst.
+func (h *Home) capLevel() {
+	h.level = max(0, min(h.level, h.share.Burst-float64(h.outstandingTokens())))
 }
 
-func (h *Home) expire(now time.Time) {
-	h.out = slices.DeleteFunc(h.out, func(o outstanding) bool { return now.After(o.until) })
+func (h *Home) dropExpired(now time.Time) {
+	h.outstanding = slices.DeleteFunc(h.outstanding, func(o outstandingGrant) bool { return now.After(o.expiresAt) })
 }
 
-// outstanding returns the tokens that may still be spent.
-func (h *Home) outstanding() Tokens {
+// outstandingTokens returns the tokens that may still be spent.
+func (h *Home) outstandingTokens() Tokens {
 	var n Tokens
-	for _, o := range h.out {
+	for _, o := range h.outstanding {
 		n += o.left
 	}
 	return n
@@ -154,14 +154,14 @@
 	if !h.started {
 		return Grant{RetryAfter: GrantLifetime}
 	}
-	h.grow(now)
-	h.report(a.Reports)
-	have := Tokens(math.Floor(h.level))
-	n := min(max(a.Urgent, 0), have)
-	n += min(max(a.Ahead, 0), (have-n)/2)
+	h.refill(now)
+	h.applyReports(a.Reports)
+	available := Tokens(math.Floor(h.level))
+	n := min(max(a.Urgent, 0), available)
+	n += min(max(a.Ahead, 0), (available-n)/2)
 	g := Grant{Tokens: n}
 	if n < a.Urgent {
-		g.RetryAfter = h.next(now, n)
+		g.RetryAfter = h.retryAfter(now, n)
 	}
 	if n == 0 {
 		return g
@@ -169,41 +169,41 @@
 	h.lastID++
 	g.ID = h.lastID
 	h.level -= float64(n)
-	h.out = append(h.out, outstanding{id: g.ID, to: a.Spender, left: n, until: now.Add(GrantCountedFor)})
+	h.outstanding = append(h.outstanding, outstandingGrant{id: g.ID, spender: a.Spender, left: n, expiresAt: now.Add(GrantCountedFor)})
 	return g
 }
 
-// next returns how long it takes until one token more than n is there. A full
+// retryAfter returns how long it takes until one token more than n is there. A full
 // bucket of outstanding grants grows only when one of them ends.
-func (h *Home) next(now time.Time, n Tokens) time.Duration {
+func (h *Home) retryAfter(now time.Time, n Tokens) time.Duration {
 	if h.share.Rate <= 0 {
 		return time.Second
 	}
 	missing := float64(n) + 1 - h.level
 	d := time.Duration(missing / h.share.Rate * float64(time.Second))
-	if start := h.from.Sub(now); start > 0 {
+	if start := h.refilledAt.Sub(now); start > 0 {
 		d += start
 	}
 	return max(d, time.Millisecond)
 }
 
-// report takes in what spenders say of their grants. A report can come twice or
+// applyReports takes in what spenders say of their grants. A applyReports can come twice or
 // late, after a newer one: what is left only falls, and a grant closed once is
 // gone, so none is counted back twice.
-func (h *Home) report(reports []Report) {
+func (h *Home) applyReports(reports []Report) {
 	for _, r := range reports {
-		i := slices.IndexFunc(h.out, func(o outstanding) bool { return o.id == r.Grant })
+		i := slices.IndexFunc(h.outstanding, func(o outstandingGrant) bool { return o.id == r.Grant })
 		if i < 0 {
 			continue
 		}
-		o := &h.out[i]
+		o := &h.outstanding[i]
 		o.left = min(o.left, max(r.Left, 0))
 		if r.Closed {
 			h.level += float64(o.left)
-			h.out = slices.Delete(h.out, i, i+1)
+			h.outstanding = slices.Delete(h.outstanding, i, i+1)
 		}
 	}
-	h.trim()
+	h.capLevel()
 }
 
 // HomeState is what a state dump shows of a home.
@@ -217,5 +217,5 @@
 
 // State returns the home's state at its last change.
 func (h *Home) State() HomeState {
-	return HomeState{h.version, h.share, h.level, h.outstanding(), h.lastID}
+	return HomeState{h.version, h.share, h.level, h.outstandingTokens(), h.lastID}
 }
--- a/core/quota/seat.go
+++ b/core/quota/seat.go
@@ -37,15 +37,15 @@
 	// from the moment at which it asked: three rounds of looking after the seats,
 	// so that two lost answers stop nothing. It bounds how long a successor waits.
 	ConsentLifetime = 2 * time.Second
-	// consentOverdue is how long the witness counts it, for clocks that run
+	// consentCountedFor is how long the witness counts it, for clocks that run
 	// apart as in GrantCountedFor.
-	consentOverdue = ConsentLifetime + ConsentLifetime*3/10
+	consentCountedFor = ConsentLifetime + ConsentLifetime*3/10
 	// MaxTenureWithoutStore bounds a tenure without the store, so that a seat whose holder and
 	// witness are both lost isn't closed for good. It is above the platform's
 	// outages of some ten minutes.
 	MaxTenureWithoutStore = 20 * time.Minute
-	// holdOverdue is what a successor waits when the witness is lost too.
-	holdOverdue = MaxTenureWithoutStore + MaxTenureWithoutStore*3/10
+	// storelessTenureCountedFor is what a successor waits when the witness is lost too.
+	storelessTenureCountedFor = MaxTenureWithoutStore + MaxTenureWithoutStore*3/10
 )
 
 // Ownership is a holder's view of its own tenure. The zero Ownership is not held.
@@ -61,9 +61,9 @@
 type Ownership struct {
 	record  OwnershipRecord
 	held    bool
-	leased  time.Time
-	consent time.Time
-	hold    time.Time
+	leaseUntil  time.Time
+	consentUntil time.Time
+	storelessUntil    time.Time
 }
 
 // Acquired notes that the record is in effect as the store answered it, with this
@@ -81,7 +81,7 @@
 // the old one counts no more.
 func (s *Ownership) BeginSwap() {
 	s.record.Witness = Process{}
-	s.consent = time.Time{}
+	s.consentUntil = time.Time{}
 }
 
 // Lost ends the tenure: the record is another's, or may be.
@@ -93,16 +93,16 @@
 // time of the holder's own clock, counted from when the renewal was sent. A lease
 // other than the record's proves nothing.
 func (s *Ownership) LeaseRenewed(lease uint64, until time.Time) {
-	if lease == s.record.Lease && until.After(s.leased) {
-		s.leased = until
-		s.hold = until.Add(MaxTenureWithoutStore)
+	if lease == s.record.Lease && until.After(s.leaseUntil) {
+		s.leaseUntil = until
+		s.storelessUntil = until.Add(MaxTenureWithoutStore)
 	}
 }
 
 // Consented notes that the witness consented to an ask that was sent at sent.
 func (s *Ownership) Consented(sent time.Time, by Process, tenure uint64) {
 	if by == s.record.Witness && tenure == s.record.Tenure {
-		s.consent = sent.Add(ConsentLifetime)
+		s.consentUntil = sent.Add(ConsentLifetime)
 	}
 }
 
@@ -113,7 +113,7 @@
 	if !s.held {
 		return false
 	}
-	return now.Before(s.leased) || now.Before(s.consent) && now.Before(s.hold)
+	return now.Before(s.leaseUntil) || now.Before(s.consentUntil) && now.Before(s.storelessUntil)
 }
 
 // Held reports whether the process takes itself for the holder.
@@ -128,7 +128,7 @@
 
 // Until returns the end of the lease, from which on consent is needed.
 func (s *Ownership) Until() time.Time {
-	return s.leased
+	return s.leaseUntil
 }
 
 // Witness keeps what one process has consented to. The zero Witness works.
@@ -137,41 +137,41 @@
 	// consented until shortly before.
 	Since time.Time
 
-	seats map[OwnershipID]consent
+	consents map[OwnershipID]consent
 }
 
 type consent struct {
-	// withdrawn is the highest tenure that gets no consent any more.
-	withdrawn uint64
-	until     time.Time
+	// withdrawnTenure is the highest tenure that gets no consent any more.
+	withdrawnTenure uint64
+	expiresAt     time.Time
 }
 
 // Consent answers a holder: whether its tenure may go on for ConsentLifetime.
-func (w *Witness) Consent(now time.Time, n OwnershipID, tenure uint64) bool {
-	c := w.seats[n]
-	if tenure <= c.withdrawn {
+func (w *Witness) Consent(now time.Time, id OwnershipID, tenure uint64) bool {
+	c := w.consents[id]
+	if tenure <= c.withdrawnTenure {
 		return false
 	}
-	c.until = now.Add(consentOverdue)
-	w.set(n, c)
+	c.expiresAt = now.Add(consentCountedFor)
+	w.setConsent(id, c)
 	return true
 }
 
 // Withdraw answers a successor, which has seen in the store that the holder's
 // lease is gone. No tenure up to the given one gets consent any more; the answer
 // is how long the last consent may still stand.
-func (w *Witness) Withdraw(now time.Time, n OwnershipID, tenure uint64) time.Duration {
-	c := w.seats[n]
-	c.withdrawn = max(c.withdrawn, tenure)
-	w.set(n, c)
-	return max(0, c.until.Sub(now), w.Since.Add(consentOverdue).Sub(now))
+func (w *Witness) Withdraw(now time.Time, id OwnershipID, tenure uint64) time.Duration {
+	c := w.consents[id]
+	c.withdrawnTenure = max(c.withdrawnTenure, tenure)
+	w.setConsent(id, c)
+	return max(0, c.expiresAt.Sub(now), w.Since.Add(consentCountedFor).Sub(now))
 }
 
-func (w *Witness) set(n OwnershipID, c consent) {
-	if w.seats == nil {
-		w.seats = map[OwnershipID]consent{}
+func (w *Witness) setConsent(id OwnershipID, c consent) {
+	if w.consents == nil {
+		w.consents = map[OwnershipID]consent{}
 	}
-	w.seats[n] = c
+	w.consents[id] = c
 }
 
 // Step is what a host that wants a seat does next.
@@ -195,38 +195,38 @@
 // Claim is a host's attempt to take a seat. The zero Claim works.
 type Claim struct {
 	record OwnershipRecord
-	// gone is when the claimant first saw that the holder's lease was gone.
-	gone time.Time
-	// free is when the withdrawn consent has ended; zero before the answer.
-	free time.Time
-	// tried is one more than the tenure of the record that a swap of this
+	// leaseGoneAt is when the claimant first saw that the holder's lease was leaseGoneAt.
+	leaseGoneAt time.Time
+	// consentEndsAt is when the withdrawn consent has ended; zero before the answer.
+	consentEndsAt time.Time
+	// pendingTenure is one more than the tenure of the record that a swap of this
 	// process may yet replace, as its answer hasn't come.
-	tried uint64
+	pendingTenure uint64
 }
 
 // Next returns the step to take after the store has shown the record r, and
 // whether the lease of its holder stands.
 func (c *Claim) Next(now time.Time, self Process, lease uint64, r OwnershipRecord, leased bool) Step {
 	if r.Holder == self && r.Lease == lease {
-		return c.own(r)
+		return c.stepForOwnRecord(r)
 	}
 	if r.Holder == self || r.Holder == (Process{}) {
 		return StepSwap
 	}
 	if leased {
-		*c = Claim{tried: c.tried}
+		*c = Claim{pendingTenure: c.pendingTenure}
 		return StepIdle
 	}
-	if c.record != r || c.gone.IsZero() {
-		*c = Claim{record: r, gone: now, tried: c.tried}
+	if c.record != r || c.leaseGoneAt.IsZero() {
+		*c = Claim{record: r, leaseGoneAt: now, pendingTenure: c.pendingTenure}
 	}
-	if r.Witness == (Process{}) || !c.free.IsZero() && !now.Before(c.free) {
+	if r.Witness == (Process{}) || !c.consentEndsAt.IsZero() && !now.Before(c.consentEndsAt) {
 		return StepSwap
 	}
-	if !c.free.IsZero() {
+	if !c.consentEndsAt.IsZero() {
 		return StepWait
 	}
-	if now.Sub(c.gone) > holdOverdue {
+	if now.Sub(c.leaseGoneAt) > storelessTenureCountedFor {
 		return StepSwap
 	}
 	return StepWithdraw
@@ -235,15 +235,15 @@
 // Tried notes that a swap of the record r has been sent, be it for another
 // witness, another lease, or to give the seat up.
 func (c *Claim) Tried(r OwnershipRecord) {
-	c.tried = r.Tenure + 1
+	c.pendingTenure = r.Tenure + 1
 }
 
-// own returns the step for a record that names this process. As long as a swap
+// stepForOwnRecord returns the step for a record that names this process. As long as a swap
 // of it may be under way, the record may be replaced at any moment by one with
 // another witness or none; only a later swap, which that one then fails after,
 // makes sure.
-func (c *Claim) own(r OwnershipRecord) Step {
-	if c.tried == r.Tenure+1 {
+func (c *Claim) stepForOwnRecord(r OwnershipRecord) Step {
+	if c.pendingTenure == r.Tenure+1 {
 		return StepSwap
 	}
 	return StepAdopt
@@ -252,7 +252,7 @@
 // Withdrawn takes in the witness's answer to StepWithdraw for record r.
 func (c *Claim) Withdrawn(now time.Time, r OwnershipRecord, remains time.Duration) {
 	if c.record == r {
-		c.free = now.Add(remains)
+		c.consentEndsAt = now.Add(remains)
 	}
 }
 
--- a/core/quota/share.go
+++ b/core/quota/share.go
@@ -54,20 +54,20 @@
 	if !slices.Contains(all, d) {
 		return Share{}
 	}
-	mine := rankOf(s, a, d)
-	before := 0
-	for _, o := range all {
-		if rankOf(s, a, o) < mine {
-			before++
+	ownRank := rankOf(s, a, d)
+	lowerRanks := 0
+	for _, other := range all {
+		if rankOf(s, a, other) < ownRank {
+			lowerRanks++
 		}
 	}
-	n := float64(len(all))
-	whole := math.Floor(burst)
-	part := math.Floor(whole / n)
-	if float64(before) < whole-part*n {
+	centres := float64(len(all))
+	wholeTokens := math.Floor(burst)
+	part := math.Floor(wholeTokens / centres)
+	if float64(lowerRanks) < wholeTokens-part*centres {
 		part++
 	}
-	return Share{Rate: rate / n, Burst: part}
+	return Share{Rate: rate / centres, Burst: part}
 }
 
 func rankOf(s fleet.Service, a fleet.Account, d fleet.DataCentre) uint64 {
--- a/core/quota/spender.go
+++ b/core/quota/spender.go
@@ -9,13 +9,13 @@
 	"skylarkdeal/core/fleet"
 )
 
-// source is what a spender knows of one data centre's home.
-type source struct {
-	// asked is when the request in flight was sent; zero when none is.
-	asked time.Time
-	// not is the time before which the home has nothing to give.
-	not     time.Time
-	reports []Report
+// homeStatus is what a spender knows of one data centre's home.
+type homeStatus struct {
+	// requestSentAt is when the request in flight was sent; zero when none is.
+	requestSentAt time.Time
+	// notBefore is the time before which the home has nothing to give.
+	notBefore     time.Time
+	pendingReports []Report
 }
 
 // Spender holds the tokens of one account on one host. Take may be called by any
@@ -26,13 +26,13 @@
 	Own fleet.DataCentre
 
 	// current is the stock that Take spends.
-	current atomic.Pointer[stock]
-	stocks  []*stock
-	sources map[fleet.DataCentre]*source
+	current atomic.Pointer[heldGrant]
+	grants  []*heldGrant
+	homes map[fleet.DataCentre]*homeStatus
 	demand  demand
 	taken   atomic.Int64
-	// stocked is when stock was last asked for with nothing waiting.
-	stocked time.Time
+	// prefetchedAt is when stock was last asked for with nothing waiting.
+	prefetchedAt time.Time
 }
 
 // HomeRequest is an Ask with the data centre whose home is to be asked.
@@ -41,8 +41,8 @@
 	Ask        Ask
 }
 
-// stockEvery is the least time between two asks for stock alone.
-const stockEvery = GrantLifetime / 4
+// prefetchInterval is the least time between two asks for stock alone.
+const prefetchInterval = GrantLifetime / 4
 
 // hedgeAfter is how long an answer is waited for before another home is asked as
 // well: some round trips between data centres. A home that has just died then
@@ -65,8 +65,8 @@
 // TakeAny is Take from any of the stocks; it also makes the oldest one with
 // something left the current one.
 func (s *Spender) TakeAny(now time.Time, n Tokens) bool {
-	s.tidy(now)
-	for _, c := range s.stocks {
+	s.dropEnded(now)
+	for _, c := range s.grants {
 		if c.take(now, n) {
 			s.taken.Add(int64(n))
 			s.current.Store(c)
@@ -76,42 +76,42 @@
 	return false
 }
 
-// tidy drops the stocks that are spent or have expired, and notes the report of
+// dropEnded drops the stocks that are spent or have expired, and notes the report of
 // each for its home.
-func (s *Spender) tidy(now time.Time) {
-	s.stocks = slices.DeleteFunc(s.stocks, func(c *stock) bool {
-		if c.left.Load() > 0 && now.Before(c.until) {
+func (s *Spender) dropEnded(now time.Time) {
+	s.grants = slices.DeleteFunc(s.grants, func(c *heldGrant) bool {
+		if c.left.Load() > 0 && now.Before(c.expiresAt) {
 			return false
 		}
-		s.settle(c)
+		s.closeGrant(c)
 		return true
 	})
 }
 
-// settle gives back what is left of c with the next ask of its home. What the
+// closeGrant gives back what is left of c with the next ask of its home. What the
 // home has counted as expired by then it ignores.
-func (s *Spender) settle(c *stock) {
-	o := s.source(c.from)
-	o.reports = append(o.reports, Report{Grant: c.id, Left: c.close(), Closed: true})
-	if n := len(o.reports); n > maxReports {
-		o.reports = slices.Delete(o.reports, 0, n-maxReports)
+func (s *Spender) closeGrant(c *heldGrant) {
+	home := s.home(c.home)
+	home.pendingReports = append(home.pendingReports, Report{Grant: c.id, Left: c.close(), Closed: true})
+	if n := len(home.pendingReports); n > maxPendingReports {
+		home.pendingReports = slices.Delete(home.pendingReports, 0, n-maxPendingReports)
 	}
 }
 
-// maxReports bounds the reports kept for a home that can't be reached; those
+// maxPendingReports bounds the reports kept for a home that can't be reached; those
 // lost would have been of grants that expire there anyway.
-const maxReports = 32
+const maxPendingReports = 32
 
-func (s *Spender) source(d fleet.DataCentre) *source {
-	if s.sources == nil {
-		s.sources = map[fleet.DataCentre]*source{}
+func (s *Spender) home(d fleet.DataCentre) *homeStatus {
+	if s.homes == nil {
+		s.homes = map[fleet.DataCentre]*homeStatus{}
 	}
-	o := s.sources[d]
-	if o == nil {
-		o = &source{}
-		s.sources[d] = o
+	status := s.homes[d]
+	if status == nil {
+		status = &homeStatus{}
+		s.homes[d] = status
 	}
-	return o
+	return status
 }
 
 // Next returns the ask to send now, if any, when waiting tokens are wanted by
@@ -123,41 +123,41 @@
 // GrantLifetime of recent demand, from the own data centre only: a busy account costs
 // a host twenty messages a second at any rate, an idle one none.
 func (s *Spender) Next(now time.Time, waiting Tokens, all []fleet.DataCentre) (HomeRequest, bool) {
-	s.tidy(now)
+	s.dropEnded(now)
 	s.demand.update(now, s.taken.Load())
-	have := s.Left(now)
-	stockUp := Tokens(math.Ceil(s.demand.perSecond * (GrantLifetime / 2).Seconds()))
-	order := s.order(all)
-	if waiting <= have {
-		if have >= (stockUp+1)/2 || s.demand.idle(now) || now.Sub(s.stocked) < stockEvery {
+	available := s.Available(now)
+	prefetch := Tokens(math.Ceil(s.demand.perSecond * (GrantLifetime / 2).Seconds()))
+	homes := s.homesInOrder(all)
+	if waiting <= available {
+		if available >= (prefetch+1)/2 || s.demand.idle(now) || now.Sub(s.prefetchedAt) < prefetchInterval {
 			return HomeRequest{}, false
 		}
-		s.stocked = now
-		order = order[:min(1, len(order))]
+		s.prefetchedAt = now
+		homes = homes[:min(1, len(homes))]
 	}
-	for _, d := range order {
-		o := s.source(d)
-		if flight := now.Sub(o.asked); !o.asked.IsZero() && flight < AskTimeout {
-			if flight < hedgeAfter {
+	for _, d := range homes {
+		home := s.home(d)
+		if sinceRequest := now.Sub(home.requestSentAt); !home.requestSentAt.IsZero() && sinceRequest < AskTimeout {
+			if sinceRequest < hedgeAfter {
 				return HomeRequest{}, false
 			}
 			continue
 		}
-		if now.Before(o.not) {
+		if now.Before(home.notBefore) {
 			continue
 		}
-		o.asked = now
+		home.requestSentAt = now
 		a := Ask{
-			Spender: s.Host, Urgent: max(0, waiting-have),
-			Ahead: max(0, stockUp-have), Reports: s.reports(d),
+			Spender: s.Host, Urgent: max(0, waiting-available),
+			Ahead: max(0, prefetch-available), Reports: s.reportsFor(d),
 		}
 		return HomeRequest{DataCentre: d, Ask: a}, true
 	}
 	return HomeRequest{}, false
 }
 
-// order returns the data centres in the order in which they are asked.
-func (s *Spender) order(all []fleet.DataCentre) []fleet.DataCentre {
+// homesInOrder returns the data centres in the homesInOrder in which they are asked.
+func (s *Spender) homesInOrder(all []fleet.DataCentre) []fleet.DataCentre {
 	i := slices.Index(all, s.Own)
 	if i <= 0 {
 		return all
@@ -165,13 +165,13 @@
 	return append(slices.Clone(all[i:]), all[:i]...)
 }
 
-// reports returns what the home of d is to be told: the grants that have ended
+// reportsFor returns what the home of d is to be told: the grants that have ended
 // since, and what is left of the others.
-func (s *Spender) reports(d fleet.DataCentre) []Report {
-	o := s.source(d)
-	out := slices.Clone(o.reports)
-	for _, c := range s.stocks {
-		if c.from == d {
+func (s *Spender) reportsFor(d fleet.DataCentre) []Report {
+	home := s.home(d)
+	out := slices.Clone(home.pendingReports)
+	for _, c := range s.grants {
+		if c.home == d {
 			out = append(out, Report{Grant: c.id, Left: Tokens(c.left.Load())})
 		}
 	}
@@ -181,64 +181,64 @@
 // Granted takes in the answer of d's home to an ask that was sent at sent. The
 // grant's life counts from then, which was before the home made it.
 func (s *Spender) Granted(now, sent time.Time, d fleet.DataCentre, a Ask, g Grant) {
-	o := s.source(d)
-	o.asked = time.Time{}
-	told := len(a.Reports)
-	o.reports = slices.DeleteFunc(o.reports, func(r Report) bool {
-		return slices.Contains(a.Reports[:told], r)
+	home := s.home(d)
+	home.requestSentAt = time.Time{}
+	reported := len(a.Reports)
+	home.pendingReports = slices.DeleteFunc(home.pendingReports, func(r Report) bool {
+		return slices.Contains(a.Reports[:reported], r)
 	})
 	if g.Tokens < a.Urgent || g.Tokens == 0 {
-		o.not = now.Add(max(g.RetryAfter, minPause))
+		home.notBefore = now.Add(max(g.RetryAfter, minRetryInterval))
 	}
 	if g.Tokens <= 0 {
 		return
 	}
-	c := &stock{from: d, id: g.ID, until: sent.Add(GrantLifetime)}
+	c := &heldGrant{home: d, id: g.ID, expiresAt: sent.Add(GrantLifetime)}
 	c.left.Store(int64(g.Tokens))
-	s.stocks = append(s.stocks, c)
-	if cur := s.current.Load(); cur == nil || cur.left.Load() == 0 || !now.Before(cur.until) {
+	s.grants = append(s.grants, c)
+	if current := s.current.Load(); current == nil || current.left.Load() == 0 || !now.Before(current.expiresAt) {
 		s.current.Store(c)
 	}
 }
 
-// minPause is how long a spender waits before it asks a home again that had too
+// minRetryInterval is how long a spender waits before it asks a home again that had too
 // little: for an account far above its rate, whose every token is waited for at
 // every host, asks would otherwise come as often as tokens. It is a sixth of the
 // time that an exchange waits, so that it refuses nobody.
-const minPause = 40 * time.Millisecond
+const minRetryInterval = 40 * time.Millisecond
 
 // Failed notes that d's home didn't answer: it isn't asked for a while, so that
 // a cut costs each exchange at most one wait.
 func (s *Spender) Failed(now time.Time, d fleet.DataCentre) {
-	o := s.source(d)
-	o.asked = time.Time{}
-	o.not = now.Add(failedPause)
+	home := s.home(d)
+	home.requestSentAt = time.Time{}
+	home.notBefore = now.Add(failedRetryInterval)
 }
 
-// failedPause is how long a home that failed is not asked.
-const failedPause = 100 * time.Millisecond
+// failedRetryInterval is how long a home that failed is not asked.
+const failedRetryInterval = 100 * time.Millisecond
 
-// Earliest returns when a home may have tokens again: now when an answer is
+// EarliestTokens returns when a home may have tokens again: now when an answer is
 // awaited or a home can be asked.
-func (s *Spender) Earliest(now time.Time, all []fleet.DataCentre) time.Time {
+func (s *Spender) EarliestTokens(now time.Time, all []fleet.DataCentre) time.Time {
 	var at time.Time
 	for _, d := range all {
-		o := s.source(d)
-		if !o.asked.IsZero() || !now.Before(o.not) {
+		home := s.home(d)
+		if !home.requestSentAt.IsZero() || !now.Before(home.notBefore) {
 			return now
 		}
-		if at.IsZero() || o.not.Before(at) {
-			at = o.not
+		if at.IsZero() || home.notBefore.Before(at) {
+			at = home.notBefore
 		}
 	}
 	return at
 }
 
-// Left returns the tokens at hand.
-func (s *Spender) Left(now time.Time) Tokens {
+// Available returns the tokens at hand.
+func (s *Spender) Available(now time.Time) Tokens {
 	var n Tokens
-	for _, c := range s.stocks {
-		if now.Before(c.until) {
+	for _, c := range s.grants {
+		if now.Before(c.expiresAt) {
 			n += Tokens(c.left.Load())
 		}
 	}
@@ -248,15 +248,15 @@
 // ReturnAll ends all stocks and returns, for each home, the ask that gives the
 // unspent tokens back, so that the hosts that stay can use them at once.
 func (s *Spender) ReturnAll() []HomeRequest {
-	for _, c := range s.stocks {
-		s.settle(c)
+	for _, c := range s.grants {
+		s.closeGrant(c)
 	}
-	s.stocks = nil
+	s.grants = nil
 	var out []HomeRequest
-	for d, o := range s.sources {
-		if len(o.reports) > 0 {
-			out = append(out, HomeRequest{DataCentre: d, Ask: Ask{Spender: s.Host, Reports: o.reports}})
-			o.reports = nil
+	for d, o := range s.homes {
+		if len(o.pendingReports) > 0 {
+			out = append(out, HomeRequest{DataCentre: d, Ask: Ask{Spender: s.Host, Reports: o.pendingReports}})
+			o.pendingReports = nil
 		}
 	}
 	return out
@@ -264,7 +264,7 @@
 
 // Idle reports whether nothing was taken for d.
 func (s *Spender) Idle(now time.Time, d time.Duration) bool {
-	return now.Sub(s.demand.last) > d
+	return now.Sub(s.demand.lastTakenAt) > d
 }
 
 // Soonest returns the least time until n tokens may be at hand, if no other host
@@ -274,10 +274,10 @@
 	if whole.Rate <= 0 {
 		return time.Second
 	}
-	wait := max(0, s.Earliest(now, all).Sub(now))
-	more := float64(n - s.Left(now) - 1)
+	wait := max(0, s.EarliestTokens(now, all).Sub(now))
+	missing := float64(n - s.Available(now) - 1)
 	if wait == 0 {
-		more = float64(n-s.Left(now)) - whole.Burst
+		missing = float64(n-s.Available(now)) - whole.Burst
 	}
-	return wait + time.Duration(max(0, more)/whole.Rate*float64(time.Second))
+	return wait + time.Duration(max(0, missing)/whole.Rate*float64(time.Second))
 }
--- a/core/quota/stock.go
+++ b/core/quota/stock.go
@@ -7,12 +7,12 @@
 	"skylarkdeal/core/fleet"
 )
 
-// stock is what is left of one grant at its spender. It is safe for concurrent
+// heldGrant is what is left of one grant at its spender. It is safe for concurrent
 // use, so that exchanges are admitted without a lock.
-type stock struct {
-	from  fleet.DataCentre
+type heldGrant struct {
+	home  fleet.DataCentre
 	id    GrantID
-	until time.Time
+	expiresAt time.Time
 	left  atomic.Int64
 }
 
@@ -21,19 +21,19 @@
 // It only ever subtracts what is there: had it subtracted first and put back
 // what was too much, a close in between would count those tokens as unspent and
 // the put-back would create them anew.
-func (s *stock) take(now time.Time, n Tokens) bool {
+func (s *heldGrant) take(now time.Time, n Tokens) bool {
 	for {
-		v := s.left.Load()
-		if v < int64(n) || !now.Before(s.until) {
+		left := s.left.Load()
+		if left < int64(n) || !now.Before(s.expiresAt) {
 			return false
 		}
-		if s.left.CompareAndSwap(v, v-int64(n)) {
+		if s.left.CompareAndSwap(left, left-int64(n)) {
 			return true
 		}
 	}
 }
 
 // close ends the stock and returns what was unspent.
-func (s *stock) close() Tokens {
+func (s *heldGrant) close() Tokens {
 	return Tokens(s.left.Swap(0))
 }
--- a/core/ratelimit/hosts.go
+++ b/core/ratelimit/hosts.go
@@ -12,14 +12,14 @@
 type host struct {
 	epoch uint64
 	seq   uint64
-	heard time.Time
-	usage map[fleet.Account]told
+	lastReport time.Time
+	usage map[fleet.Account]reportedUsage
 }
 
-// told is what a host has told of an account, and when that was heard.
-type told struct {
+// reportedUsage is what a host has reportedUsage of an account, and when that was heard.
+type reportedUsage struct {
 	Usage
-	at time.Time
+	reportedAt time.Time
 }
 
 // demand returns what was asked for of an account when the host was last heard. What it
@@ -29,15 +29,15 @@
 	if t.Demand == 0 {
 		return 0
 	}
-	return t.Demand * math.Exp(-h.heard.Sub(t.at).Seconds()/demandOver.Seconds())
+	return t.Demand * math.Exp(-h.lastReport.Sub(t.reportedAt).Seconds()/demandWindow.Seconds())
 }
 
 // SetPeers tells which other hosts there are.
 func (f *Limiter) SetPeers(now time.Time, hs []fleet.Host) {
-	f.start(now)
-	f.members = fleet.NewSet(hs...)
+	f.initialise(now)
+	f.peers = fleet.NewSet(hs...)
 	for n, h := range f.hosts {
-		if !f.members.Has(n) && now.Sub(h.heard) > rememberFor {
+		if !f.peers.Has(n) && now.Sub(h.lastReport) > countsKeptFor {
 			delete(f.hosts, n)
 		}
 	}
@@ -45,103 +45,103 @@
 
 // AddReport takes in another host's report. Reports of one process that are late or doubled
 // change nothing.
-func (f *Limiter) AddReport(now time.Time, from fleet.Host, epoch, seq uint64, us []Usage) {
-	f.start(now)
+func (f *Limiter) AddReport(now time.Time, from fleet.Host, epoch, seq uint64, usages []Usage) {
+	f.initialise(now)
 	h := f.hosts[from]
 	known := h != nil
 	if known && h.epoch == epoch && seq <= h.seq {
 		return
 	}
 	if !known || h.epoch != epoch {
-		h = &host{epoch: epoch, usage: map[fleet.Account]told{}}
+		h = &host{epoch: epoch, usage: map[fleet.Account]reportedUsage{}}
 		f.hosts[from] = h
 	}
 	// What hosts have admitted before this process began is none of its matter.
-	baseline := !known && now.Sub(f.began) < demandOver
-	late := now.Sub(h.heard) > f.fresh()
-	h.seq, h.heard = seq, now
-	for _, u := range us {
-		before, met := h.usage[u.Account]
-		h.usage[u.Account] = told{u, now}
+	baseline := !known && now.Sub(f.startedAt) < demandWindow
+	late := now.Sub(h.lastReport) > f.maxReportAge()
+	h.seq, h.lastReport = seq, now
+	for _, u := range usages {
+		before, reported := h.usage[u.Account]
+		h.usage[u.Account] = reportedUsage{u, now}
 		a := f.accounts[u.Account]
 		if a == nil || baseline {
 			continue
 		}
-		news := float64(u.Admitted) - float64(before.Admitted)
-		if !met {
+		admitted := float64(u.Admitted) - float64(before.Admitted)
+		if !reported {
 			// The first word of a process may count from long ago: no more than the last of
 			// it is still to be made up for.
-			news = min(news, u.Demand*demandOver.Seconds())
+			admitted = min(admitted, u.Demand*demandWindow.Seconds())
 		}
-		a.told(news, late)
+		a.addRemote(admitted, late)
 	}
 }
 
-// untold guesses what the other hosts have admitted since their last reports: the same part
+// unreported guesses what the other hosts have admitted since their last reports: the same part
 // as this one of what is asked of them. Without it each host gives away, in a sudden flood,
 // what all believe to be left.
-func (f *Limiter) untold(now time.Time, a *account, n fleet.Account) float64 {
+func (f *Limiter) unreported(now time.Time, a *account, n fleet.Account) float64 {
 	sum := 0.0
 	for name, h := range f.hosts {
-		if silent := now.Sub(h.heard); f.members.Has(name) && silent <= f.fresh() {
-			sum += min(h.demand(n)*a.part, a.rate) * silent.Seconds()
+		if silent := now.Sub(h.lastReport); f.peers.Has(name) && silent <= f.maxReportAge() {
+			sum += min(h.demand(n)*a.admittedFraction, a.rate) * silent.Seconds()
 		}
 	}
 	return sum
 }
 
-// whole reports whether all other hosts have told lately what they admit.
-func (f *Limiter) whole(now time.Time) bool {
-	if f.members == nil {
+// allHeard reports whether all other hosts have told lately what they admit.
+func (f *Limiter) allHeard(now time.Time) bool {
+	if f.peers == nil {
 		return false
 	}
-	for n := range f.members {
-		if h := f.hosts[n]; h == nil || now.Sub(h.heard) > f.fresh() {
+	for n := range f.peers {
+		if h := f.hosts[n]; h == nil || now.Sub(h.lastReport) > f.maxReportAge() {
 			return false
 		}
 	}
 	return true
 }
 
-// side returns the part of the rate that the hosts which are heard may admit: what was asked
+// reachableFraction returns the part of the rate that the hosts which are heard may admit: what was asked
 // of them, of all that was asked for.
 //
-// While a host isn't heard that part doesn't grow: the other side of a cut sees its own
+// While a host isn't heard that part doesn't grow: the other reachableFraction of a cut sees its own
 // demand grow as well, and both would add up to twice the rate.
-func (f *Limiter) side(now time.Time, a *account, n fleet.Account) float64 {
-	if f.members == nil {
-		return 1.0 / unknownHosts
+func (f *Limiter) reachableFraction(now time.Time, a *account, n fleet.Account) float64 {
+	if f.peers == nil {
+		return 1.0 / assumedHosts
 	}
-	if f.whole(now) {
-		a.kept, a.spilled = 1, 0
+	if f.allHeard(now) {
+		a.partitionFraction, a.discarded = 1, 0
 		return 1
 	}
-	floor := a.rate * floorPart / float64(1+len(f.members))
-	heard, all := a.demand+floor, a.demand+floor
-	for name := range f.members {
+	minDemand := a.rate * demandFloor / float64(1+len(f.peers))
+	heard, all := a.demand+minDemand, a.demand+minDemand
+	for name := range f.peers {
 		h := f.hosts[name]
 		if h == nil {
-			all += a.demand + floor
+			all += a.demand + minDemand
 			continue
 		}
-		d := h.demand(n) + floor
+		d := h.demand(n) + minDemand
 		all += d
-		if now.Sub(h.heard) <= f.fresh() {
+		if now.Sub(h.lastReport) <= f.maxReportAge() {
 			heard += d
 		}
 	}
-	s := heard / all
-	if a.kept == 0 || a.kept == 1 {
-		a.kept = s
+	fraction := heard / all
+	if a.partitionFraction == 0 || a.partitionFraction == 1 {
+		a.partitionFraction = fraction
 	}
-	return min(s, a.kept)
+	return min(fraction, a.partitionFraction)
 }
 
-// counts reports whether a host has a share of the rates: it is on the list, or was heard
+// counted reports whether a host has a share of the rates: it is on the list, or was heard
 // lately.
-func (f *Limiter) counts(now time.Time, n fleet.Host, h *host) bool {
-	return f.members.Has(n) || now.Sub(h.heard) <= forgetAfter
+func (f *Limiter) counted(now time.Time, n fleet.Host, h *host) bool {
+	return f.peers.Has(n) || now.Sub(h.lastReport) <= unlistedHostExpiry
 }
 
-// fresh is how old the report of a host may be for the picture to count as whole.
-func (f *Limiter) fresh() time.Duration { return mesh.IntervalsFor(1 + len(f.members)).HeardWithin }
+// maxReportAge is how old the report of a host may be for the picture to count as whole.
+func (f *Limiter) maxReportAge() time.Duration { return mesh.IntervalsFor(1 + len(f.peers)).HeardWithin }
--- a/core/ratelimit/ratelimit.go
+++ b/core/ratelimit/ratelimit.go
@@ -20,39 +20,39 @@
 )
 
 const (
-	// plenty is the part of the burst above which all operations are admitted. The other half
+	// fullAdmissionLevel is the part of the burst above which all operations are admitted. The other half
 	// is for what the others have admitted but not told of yet: a quarter of a second of
 	// an account that sends eight times its usual.
-	plenty = 0.5
-	// levelOver is the time over which what is left below plenty may be used up, or what was
+	fullAdmissionLevel = 0.5
+	// levelCorrectionTime is the time over which what is left below plenty may be used up, or what was
 	// admitted too much is made up for: some reports.
-	levelOver = time.Second
-	// forgetAfter is when a host that isn't heard, nor on the list, is left out, rememberFor
+	levelCorrectionTime = time.Second
+	// unlistedHostExpiry is when a host that isn't heard, nor on the list, is left out, rememberFor
 	// how long its counts are kept: it may be cut off, and come back with the same ones.
-	forgetAfter = 3 * time.Second
-	rememberFor = time.Minute
-	// floorPart is the demand, as a part of the rate, that all hosts together are taken to have
+	unlistedHostExpiry = 3 * time.Second
+	countsKeptFor = time.Minute
+	// demandFloor is the demand, as a part of the rate, that all hosts together are taken to have
 	// at least, evenly.
-	floorPart = 0.16
-	// demandOver is the time over which demand is averaged.
-	demandOver = time.Second
-	// toldFor is how long after its last operation an account is told of in each report: two
+	demandFloor = 0.16
+	// demandWindow is the time over which demand is averaged.
+	demandWindow = time.Second
+	// reportedFor is how long after its last operation an account is told of in each report: two
 	// reports of a large fleet, five of a small one. What is lost with both is told by the
 	// next operation, or when all is told.
-	toldFor = time.Second
-	// overdraft is how far, as a part of the burst, the picture of the bucket may fall below
+	reportedFor = time.Second
+	// maxOverdraft is how far, as a part of the burst, the picture of the bucket may fall below
 	// nothing before nothing is admitted any more; it is leastOverdraft operations at least.
-	overdraft      = 0.05
-	leastOverdraft = 1.5
-	// unknownHosts stands for the number of hosts until the list of them is known.
-	unknownHosts = 8
-	// firstPart is the part of the burst that a process begins with: all hosts may start
+	maxOverdraft      = 0.05
+	minOverdraft = 1.5
+	// assumedHosts stands for the number of hosts until the list of them is known.
+	assumedHosts = 8
+	// initialFraction is the part of the burst that a process begins with: all hosts may start
 	// at once, after others have spent the burst.
-	firstPart = 0.55
-	// minWait keeps a refused caller from coming back at once, maxWait from staying away
+	initialFraction = 0.55
+	// minRetryAfter keeps a refused caller from coming back at once, maxWait from staying away
 	// once others have gone.
-	minWait = 50 * time.Millisecond
-	maxWait = time.Second
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = time.Second
 )
 
 // Usage is what one host tells of one account.
@@ -68,15 +68,15 @@
 type Limiter struct {
 	accounts map[fleet.Account]*account
 	hosts    map[fleet.Host]*host
-	members  fleet.Set[fleet.Host]
-	began    time.Time
+	peers  fleet.Set[fleet.Host]
+	startedAt    time.Time
 }
 
-func (f *Limiter) start(now time.Time) {
+func (f *Limiter) initialise(now time.Time) {
 	if f.accounts == nil {
 		f.accounts = map[fleet.Account]*account{}
 		f.hosts = map[fleet.Host]*host{}
-		f.began = now
+		f.startedAt = now
 	}
 }
 
@@ -85,34 +85,34 @@
 	if c.Rate <= 0 {
 		return 0, true
 	}
-	f.start(now)
+	f.initialise(now)
 	a := f.account(now, c)
-	a.ask(now)
-	side := f.side(now, a, c.Name)
-	a.refill(now, side)
-	level := a.pool - f.untold(now, a, c.Name)
-	a.part = f.part(a, c.Name, level, side)
-	if level < -max(a.burst*side*overdraft, leastOverdraft*side) {
-		return a.wait(level, side), false
+	a.countRequest(now)
+	reachable := f.reachableFraction(now, a, c.Name)
+	a.refill(now, reachable)
+	level := a.tokens - f.unreported(now, a, c.Name)
+	a.admittedFraction = f.admittedFraction(a, c.Name, level, reachable)
+	if level < -max(a.burst*reachable*maxOverdraft, minOverdraft*reachable) {
+		return a.retryAfter(level, reachable), false
 	}
-	a.credit += a.part
+	a.credit += a.admittedFraction
 	if a.credit < 1 {
-		return a.wait(level, side), false
+		return a.retryAfter(level, reachable), false
 	}
 	a.credit--
-	a.pool--
+	a.tokens--
 	a.admitted++
 	return 0, true
 }
 
-// part returns which part of an account's operations the hosts that hear each other may admit
+// admittedFraction returns which admittedFraction of an account's operations the hosts that hear each other may admit
 // now, for all of them together to admit their side of the rate and, besides, what is left
 // in the bucket.
-func (f *Limiter) part(a *account, n fleet.Account, level, side float64) float64 {
-	if level >= a.burst*side*plenty {
+func (f *Limiter) admittedFraction(a *account, n fleet.Account, level, reachable float64) float64 {
+	if level >= a.burst*reachable*fullAdmissionLevel {
 		return 1
 	}
-	rate := a.rate*side + level/levelOver.Seconds()
+	rate := a.rate*reachable + level/levelCorrectionTime.Seconds()
 	return min(1, max(rate, 0)/max(f.demand(a, n), 1))
 }
 
@@ -120,7 +120,7 @@
 // that was never heard is taken to be asked for as much as this one.
 func (f *Limiter) demand(a *account, n fleet.Account) float64 {
 	sum := a.demand
-	for name := range f.members {
+	for name := range f.peers {
 		if h := f.hosts[name]; h == nil {
 			sum += a.demand
 		} else {
@@ -138,32 +138,32 @@
 		return
 	}
 	a.admitted--
-	a.changed = a.at
-	a.pool++
+	a.changedAt = a.refilledAt
+	a.tokens++
 	a.credit = min(a.credit+1, 2)
 }
 
 func (f *Limiter) account(now time.Time, c catalog.Account) *account {
 	a := f.accounts[c.Name]
 	if a == nil {
-		a = &account{at: now, demandAt: now, part: 1, credit: rand.Float64(), rate: c.Rate, burst: max(c.Burst, 1)}
-		a.pool = f.firstPool(now, c) * f.side(now, a, c.Name)
+		a = &account{refilledAt: now, demandUpdatedAt: now, admittedFraction: 1, credit: rand.Float64(), rate: c.Rate, burst: max(c.Burst, 1)}
+		a.tokens = f.initialTokens(now, c) * f.reachableFraction(now, a, c.Name)
 		f.accounts[c.Name] = a
 	}
 	a.rate, a.burst = c.Rate, max(c.Burst, 1)
 	return a
 }
 
-// firstPool guesses what the fleet's bucket holds of an account that is asked for here for
+// initialTokens guesses what the fleet's bucket holds of an account that is asked for here for
 // the first time: little when the process begins, and what others have left since.
-func (f *Limiter) firstPool(now time.Time, c catalog.Account) float64 {
+func (f *Limiter) initialTokens(now time.Time, c catalog.Account) float64 {
 	left := c.Rate
 	for name, h := range f.hosts {
-		if f.counts(now, name, h) {
+		if f.counted(now, name, h) {
 			left -= h.demand(c.Name)
 		}
 	}
-	return min(c.Burst, c.Burst*firstPart+max(left, 0)*now.Sub(f.began).Seconds())
+	return min(c.Burst, c.Burst*initialFraction+max(left, 0)*now.Sub(f.startedAt).Seconds())
 }
 
 // Usage returns what this host has to tell of its accounts: of those that were asked for
@@ -172,10 +172,10 @@
 func (f *Limiter) Usage(now time.Time, all bool) []Usage {
 	var out []Usage
 	for n, a := range f.accounts {
-		if !all && now.Sub(a.changed) > toldFor {
+		if !all && now.Sub(a.changedAt) > reportedFor {
 			continue
 		}
-		a.decay(now)
+		a.decayDemand(now)
 		out = append(out, Usage{Account: n, Admitted: a.admitted, Demand: a.demand})
 	}
 	return out
--- a/core/reference/bucket.go
+++ b/core/reference/bucket.go
@@ -12,17 +12,17 @@
 	Burst float64
 
 	spent float64
-	at    time.Time
+	updatedAt    time.Time
 }
 
-// slack makes up for the rounding of floating-point numbers.
-const slack = 1e-6
+// tolerance makes up for the rounding of floating-point numbers.
+const tolerance = 1e-6
 
 // Admit spends a token at now, or reports that there is none. Calls have to come
 // in the order of time.
 func (b *Bucket) Admit(now time.Time) bool {
-	b.grow(now)
-	if b.spent+1 > b.Burst+slack {
+	b.refill(now)
+	if b.spent+1 > b.Burst+tolerance {
 		return false
 	}
 	b.spent++
@@ -31,15 +31,15 @@
 
 // Set changes rate and burst from now on.
 func (b *Bucket) Set(now time.Time, rate, burst float64) {
-	b.grow(now)
+	b.refill(now)
 	b.Rate, b.Burst = rate, burst
 }
 
-func (b *Bucket) grow(now time.Time) {
-	if !b.at.IsZero() {
-		b.spent = max(0, b.spent-b.Rate*now.Sub(b.at).Seconds())
+func (b *Bucket) refill(now time.Time) {
+	if !b.updatedAt.IsZero() {
+		b.spent = max(0, b.spent-b.Rate*now.Sub(b.updatedAt).Seconds())
 	}
-	b.at = now
+	b.updatedAt = now
 }
 
 // Exceeds returns the index of the first of the admissions, in the order of
--- a/core/reference/ledger.go
+++ b/core/reference/ledger.go
@@ -15,15 +15,15 @@
 }
 
 // Write adds a value.
-func (l *Database) Write(v string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.values = append(l.values, v)
+func (d *Database) Write(v string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.values = append(d.values, v)
 }
 
 // Read returns all values in the order of their writes.
-func (l *Database) Read() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Clone(l.values)
+func (d *Database) Read() []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.values)
 }
--- a/core/ring/ring.go
+++ b/core/ring/ring.go
@@ -78,7 +78,7 @@
 
 	mu     sync.Mutex
 	values []T
-	next   int
+	oldest   int
 }
 
 // DefaultRecent is how many values a zero Recent keeps.
@@ -95,8 +95,8 @@
 		r.values = append(r.values, v)
 		return
 	}
-	r.values[r.next] = v
-	r.next = (r.next + 1) % r.Keep
+	r.values[r.oldest] = v
+	r.oldest = (r.oldest + 1) % r.Keep
 }
 
 // All returns the kept values, the oldest first.
@@ -104,6 +104,6 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make([]T, 0, len(r.values))
-	out = append(out, r.values[r.next:]...)
-	return append(out, r.values[:r.next]...)
+	out = append(out, r.values[r.oldest:]...)
+	return append(out, r.values[:r.oldest]...)
 }
