--- a/core/admit/history.go
+++ b/core/admit/history.go
@@ -15,8 +15,8 @@
 
 // slotTimes learns how long exchanges hold a slot.
 type slotTimes struct {
-	kinds map[statementKind]time.Duration
-	average   time.Duration
+	kinds   map[statementKind]time.Duration
+	average time.Duration
 	// baseline follows the slot times of a lane's quickest statements: fast
 	// downwards, slowly upwards, so that long ones hardly move it. Lanes differ,
 	// as a slow primary makes all writes slow, and none long beside the others.
--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -73,17 +73,17 @@
 // waitingItem is an item with the slot time that it is expected to take.
 type waitingItem struct {
 	Item
-	enqueuedAt  time.Time
-	expected time.Duration
+	enqueuedAt time.Time
+	expected   time.Duration
 	// required is the part of expect that is held against the deadline.
 	required time.Duration
 }
 
 // runningItem is an item that has a slot.
 type runningItem struct {
-	account *account
-	item    Item
-	expected  time.Duration
+	account  *account
+	item     Item
+	expected time.Duration
 }
 
 // account is the state of one client account.
@@ -122,20 +122,20 @@
 type Queue struct {
 	Limits Limits
 
-	accounts map[fleet.Account]*account
-	pinned   []waitingItem
-	running  map[uint64]runningItem
-	slotTimes  slotTimes
+	accounts  map[fleet.Account]*account
+	pinned    []waitingItem
+	running   map[uint64]runningItem
+	slotTimes slotTimes
 	// virtualTime is the tag of the item started last.
 	virtualTime float64
-	waiting int
-	backlog [2]time.Duration
+	waiting     int
+	backlog     [2]time.Duration
 	// lastStart is when something of a lane last started, or came to an empty lane.
 	lastStart [2]time.Time
 	// runningInLane counts the running items of a lane, occupied adds up their expected
 	// slot times.
-	runningInLane     [2]int
-	runningTime [2]time.Duration
+	runningInLane [2]int
+	runningTime   [2]time.Duration
 	// long counts the running long items: all of them, and the writes.
 	long, longWrites int
 	refused          int
--- a/core/quota/demand.go
+++ b/core/quota/demand.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// demand follows how many tokens a second are taken.
+// demand is a moving average of how many tokens are taken a second.
 type demand struct {
-	perSecond float64
-	takenBefore      int64
-	updatedAt        time.Time
-	lastTakenAt      time.Time
+	perSecond   float64
+	takenBefore int64
+	updatedAt   time.Time
+	lastTakenAt time.Time
 }
 
 // demandWindow is the time constant of the moving average.
@@ -33,7 +33,7 @@
 	d.takenBefore, d.updatedAt = taken, now
 }
 
-// idle reports whether nothing was taken for a while.
+// idle reports whether no update found any tokens taken for a demandWindow.
 func (d *demand) idle(now time.Time) bool {
 	return now.Sub(d.lastTakenAt) > demandWindow
 }
--- a/core/quota/home.go
+++ b/core/quota/home.go
@@ -9,24 +9,27 @@
 	"skylarkdeal/core/fleet"
 )
 
-// GrantID names a grant of one home; it is unique for one tenure of a home.
+// GrantID identifies a grant of one home; it is unique within one tenure of the
+// home.
 type GrantID uint64
 
-// Report tells a home what has become of one of its grants.
+// Report tells a home how much of one of its grants is left.
 type Report struct {
 	Grant GrantID
-	// Left is how much of the grant is not spent.
+	// Left is the number of tokens that aren't spent.
 	Left Tokens
-	// Closed gives the rest back: the spender will never spend it.
+	// Closed returns the tokens that are left: the spender will never spend
+	// them.
 	Closed bool
 }
 
 // Ask is a spender's request for tokens.
 type Ask struct {
 	Spender fleet.Host
-	// Urgent is what exchanges wait for now.
+	// Urgent is the number of tokens that exchanges wait for now.
 	Urgent Tokens
-	// Ahead is what is likely to be wanted within half a GrantLifetime.
+	// Ahead is the number of tokens that are likely to be needed within half a
+	// GrantLifetime.
 	Ahead   Tokens
 	Reports []Report
 }
@@ -35,47 +38,48 @@
 type Grant struct {
 	ID     GrantID
 	Tokens Tokens
-	// RetryAfter is when one token more may be had, if fewer were granted than
-	// are urgent.
+	// RetryAfter is when one more token may be granted, if fewer were granted
+	// than are urgent.
 	RetryAfter time.Duration
 }
 
 // outstandingGrant is a grant that may still be spent.
 type outstandingGrant struct {
-	id    GrantID
-	spender    fleet.Host
-	left  Tokens
+	id        GrantID
+	spender   fleet.Host
+	left      Tokens
 	expiresAt time.Time
 }
 
 // Home grants one data centre's share of one account's rate. The zero Home
 // grants nothing until Start. It is not safe for concurrent use.
 //
-// It is a token bucket with one rule more: the level and the grants that may
-// still be spent never exceed the burst together. All that can be spent in a
-// window [s, e] is outstanding at s, in the bucket at s, or grows until e, hence
-// at most burst + rate·(e-s): the bound holds for every window, although grants
-// are spent later than they are made.
+// It is a token bucket with one additional rule: the level and the grants that
+// may still be spent never exceed the burst together. All that can be spent in
+// a window [s, e] is outstanding at s, in the bucket at s, or added until e,
+// hence at most burst + rate·(e-s): the bound holds for every window, although
+// grants are spent later than they are made.
 type Home struct {
 	version document.Version
 	share   Share
 	level   float64
-	// refilledAt is the time up to which the level has grown.
-	refilledAt    time.Time
-	outstanding     []outstandingGrant
-	lastID  GrantID
-	started bool
-	// nextShare is the share that takes the place of share at listed.
-	nextShare  Share
+	// refilledAt is the time up to which the level has been refilled.
+	refilledAt  time.Time
+	outstanding []outstandingGrant
+	lastID      GrantID
+	started     bool
+	// nextShare is the share that replaces share at nextShareAt.
+	nextShare   Share
 	nextShareAt time.Time
 }
 
-// Start begins a tenure at now with the given share. The bucket begins to grow
-// only when the grants of any predecessor have expired, and starts with level:
-// none, unless more is known, as a host that restarts or takes over knows nothing
-// of what was spent before; what a predecessor had left when it gave the seat up;
-// or the whole burst where nobody can have granted before. The caller has made
-// sure that no predecessor grants any more (see Ownership), and uses a level once.
+// Start begins a tenure at now with the share s. The bucket is refilled only
+// from the time at which the grants of any predecessor have expired, and starts
+// with level tokens. The level is 0 unless more is known, as a host that
+// restarts or takes over doesn't know what was spent before. It is what a
+// predecessor had left when it gave the ownership up, or the whole burst where
+// no host can have granted before. The caller has made sure that no predecessor
+// grants any more (see Ownership), and uses a level once.
 func (h *Home) Start(now time.Time, v document.Version, s Share, id GrantID, level float64) {
 	*h = Home{version: v, share: s, nextShare: s, refilledAt: now.Add(GrantCountedFor), lastID: id, started: true}
 	h.level = max(0, min(level, s.Burst))
@@ -86,15 +90,17 @@
 	return h.started
 }
 
-// ShareIncreaseDelay is how long a share that has grown because the list of data centres
-// has changed isn't used yet: a document takes some seconds to all hosts that can
-// be reached, and until then another data centre may go by its old, larger share.
+// ShareIncreaseDelay is how long a share that has grown because the list of
+// data centres has changed isn't used yet. A document takes some seconds to
+// reach all hosts that can be reached, and until then another data centre may
+// go by its old, larger share.
 const ShareIncreaseDelay = 30 * time.Second
 
 // SetShare puts the share of a newer version of the document in effect. A lower
-// burst takes effect at once on what is not granted yet; a higher one has to
-// grow. An older version changes nothing. If the list of data centres is not the
-// same, what the share gains waits for ShareIncreaseDelay.
+// burst takes effect at once on what is not granted yet; the tokens of a higher
+// one accrue over time. An older version changes nothing. If the list of data
+// centres has changed, an increase of the share takes effect after
+// ShareIncreaseDelay.
 func (h *Home) SetShare(now time.Time, v document.Version, s Share, sameList bool) {
 	if v <= h.version {
 		return
@@ -108,7 +114,8 @@
 	h.capLevel()
 }
 
-// applyNextShare puts the later share in effect, or of it what isn't more than before.
+// applyNextShare puts nextShare in effect; before nextShareAt, only what of it
+// is no more than the present share.
 func (h *Home) applyNextShare(now time.Time) {
 	if now.Before(h.nextShareAt) {
 		h.share = Share{Rate: min(h.share.Rate, h.nextShare.Rate), Burst: min(h.share.Burst, h.nextShare.Burst)}
@@ -117,8 +124,8 @@
 	h.share = h.nextShare
 }
 
-// refill adds what has accrued since the last call. A clock that steps back adds
-// nothing. What can't be kept is lost, as in any bucket that is full.
+// refill adds what has accrued since the last call. A clock that steps back
+// adds nothing. Tokens that exceed the burst are lost, as in any full bucket.
 func (h *Home) refill(now time.Time) {
 	h.dropExpired(now)
 	if d := now.Sub(h.refilledAt); d > 0 {
@@ -147,9 +154,9 @@
 	return n
 }
 
-// Ask answers a spender. Urgent wants are met first come, first served, as a
-// single bucket would; wants ahead only from half of what is left, so that one
-// host's stock doesn't make another one refuse.
+// Ask answers a spender. Urgent tokens are granted first come, first served, as
+// by a single bucket; tokens ahead of need only from half of what is left, so
+// that the prefetching of one host doesn't make another one refuse.
 func (h *Home) Ask(now time.Time, a Ask) Grant {
 	if !h.started {
 		return Grant{RetryAfter: GrantLifetime}
@@ -169,12 +176,15 @@
 	h.lastID++
 	g.ID = h.lastID
 	h.level -= float64(n)
-	h.outstanding = append(h.outstanding, outstandingGrant{id: g.ID, spender: a.Spender, left: n, expiresAt: now.Add(GrantCountedFor)})
+	h.outstanding = append(h.outstanding, outstandingGrant{
+		id: g.ID, spender: a.Spender, left: n, expiresAt: now.Add(GrantCountedFor),
+	})
 	return g
 }
 
-// retryAfter returns how long it takes until one token more than n is there. A full
-// bucket of outstanding grants grows only when one of them ends.
+// retryAfter returns how long it takes until one token more than n is there. A
+// bucket whose burst is wholly outstanding is refilled only when one of its
+// grants ends.
 func (h *Home) retryAfter(now time.Time, n Tokens) time.Duration {
 	if h.share.Rate <= 0 {
 		return time.Second
@@ -187,9 +197,9 @@
 	return max(d, time.Millisecond)
 }
 
-// applyReports takes in what spenders say of their grants. A applyReports can come twice or
-// late, after a newer one: what is left only falls, and a grant closed once is
-// gone, so none is counted back twice.
+// applyReports handles the reports of spenders on their grants. A report can
+// come twice, or after a newer one. What is left only falls, and a closed grant
+// is removed, so no token is returned twice.
 func (h *Home) applyReports(reports []Report) {
 	for _, r := range reports {
 		i := slices.IndexFunc(h.outstanding, func(o outstandingGrant) bool { return o.id == r.Grant })
@@ -206,7 +216,7 @@
 	h.capLevel()
 }
 
-// HomeState is what a state dump shows of a home.
+// HomeState is the part of a state dump that describes a home.
 type HomeState struct {
 	Version     document.Version `json:"version"`
 	Share       Share            `json:"share"`
--- a/core/quota/measure_test.go
+++ b/core/quota/measure_test.go
@@ -9,8 +9,8 @@
 	"skylarkdeal/internal/experiment/rates"
 )
 
-// TestWrongfulRefusals prints the table of docs/design/rate-and-burst.md, and
-// holds the chosen design to what it was chosen for.
+// TestWrongfulRefusals prints the table of docs/design/rate-and-burst.md, and checks that the
+// chosen design stays within its limits.
 func TestWrongfulRefusals(t *testing.T) {
 	c := qt.New(t)
 	rows := rates.Measure(0)
@@ -24,26 +24,26 @@
 			c.Check(o.Over, qt.Equals, 0, qt.Commentf("%s, %s exceeds the rate", o.Design, r.Case))
 		}
 		o := r.Chosen()
-		c.Check(o.Per10000() <= accepted[r.Case], qt.IsTrue, qt.Commentf("%s: %.1f", r.Case, o.Per10000()))
-		most := float64(mostCalls)
+		c.Check(o.Per10000() <= maxWrongfulRefusals[r.Case], qt.IsTrue, qt.Commentf("%s: %.1f", r.Case, o.Per10000()))
+		limit := float64(maxCalls)
 		if r.Load > 1 {
-			most = mostCallsAbove
+			limit = maxCallsAboveRate
 		}
-		c.Check(o.Calls <= most, qt.IsTrue, qt.Commentf("%s: %.0f calls/s", r.Case, o.Calls))
+		c.Check(o.Calls <= limit, qt.IsTrue, qt.Commentf("%s: %.0f calls/s", r.Case, o.Calls))
 	}
 }
 
-// accepted is the most wrongful refusals per 10,000 that the chosen design may
-// have; scenarios that aren't listed may have none. While a quarter of the rate
-// can't be had for a third of the time, some of a load of nine tenths must go.
-var accepted = map[string]float64{
+// maxWrongfulRefusals bounds the wrongful refusals per 10,000 of the chosen design; scenarios that
+// aren't listed may have none. While a quarter of the rate can't be used for a third of the time,
+// some of a load of nine tenths must be refused.
+var maxWrongfulRefusals = map[string]float64{
 	"host replaced":        5,
 	"home lost":            200,
 	"cut, all on the rest": 600,
 }
 
-// mostCallsAbove is the same for three times the rate.
-const mostCallsAbove = 800
+// maxCallsAboveRate bounds the calls a second at three times the rate.
+const maxCallsAboveRate = 800
 
-// mostCalls is two for each exchange of the measured load.
-const mostCalls = 400
+// maxCalls bounds the calls a second: two for each exchange of the measured load.
+const maxCalls = 400
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -16,8 +16,8 @@
 	"skylarkdeal/internal/experiment/rates"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict. A seed or a
-// number of checks given on the command line goes before.
+// TestMain fixes the seed, so that each run gives the same result. A seed or a number of checks
+// given on the command line takes precedence.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := fleet.NewSet[string]()
@@ -45,8 +45,8 @@
 	// sapporo {30 3}
 }
 
-// While a document spreads, some data centres go by the old rate and burst and
-// some by the new one. Their parts must not add up to more than either.
+// While a document spreads, some data centres go by the old rate and burst and some by the new
+// ones. Their shares must not add up to more than the greater rate and burst.
 func TestSharesOfTwoDocumentsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n string) (float64, float64) {
@@ -68,8 +68,8 @@
 	})
 }
 
-// fault draws something that goes wrong in the world at its present time.
-func fault(t *rapid.T, w *rates.World) {
+// injectFault draws a fault and injects it into the world at its present time.
+func injectFault(t *rapid.T, w *rates.World) {
 	h := rapid.SampledFrom(w.Hosts).Draw(t, "host")
 	d := time.Duration(rapid.IntRange(50, 12_000).Draw(t, "ms")) * time.Millisecond
 	switch rapid.SampledFrom([]string{"pause", "suspend", "restart", "cut", "store down", "nothing"}).Draw(t, "fault") {
@@ -86,11 +86,10 @@
 	}
 }
 
-// A chain has sold its customers twice the orders that the owner of the database
-// agreed to: callers come to every host as fast as they can, while hosts are
-// paused, suspended, killed and restarted, data centres are cut off, the store
-// is down, messages are late or lost, and every host claims to be the home. At
-// no time and over no window may more than rate·w + burst get through.
+// Callers of one account come to every host as fast as they can, while hosts are paused, suspended,
+// killed and restarted, data centres are cut off, the store is down, messages are late or lost, and
+// every host claims to be the home. At no time and over no window w may more than rate·w + burst be
+// admitted.
 func TestNeverMoreThanRateAndBurst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.SampledFrom([]int{20, 100, 400}).Draw(t, "rate"))
@@ -103,7 +102,7 @@
 		flood(w, quota.Share{Rate: rate, Burst: burst})
 		for range rapid.IntRange(3, 12).Draw(t, "faults") {
 			w.Run(w.Now() + time.Duration(rapid.IntRange(100, 6000).Draw(t, "wait"))*time.Millisecond)
-			fault(t, w)
+			injectFault(t, w)
 		}
 		w.Run(w.Now() + 10*time.Second)
 		// The homes' clocks may be fast by the drift, and so may what they grant.
@@ -113,9 +112,8 @@
 	})
 }
 
-// flood lets exchanges come to every host for a while, then none until the burst
-// has grown anew, and so on: only a burst that has just been spent leaves no
-// slack in the bound.
+// flood lets exchanges come to every host for a while, then none until the burst has accrued again,
+// and so on: only a burst that has just been spent leaves no slack in the bound.
 func flood(w *rates.World, a quota.Share) {
 	every := 2 * time.Second / time.Duration(a.Rate)
 	rest := time.Duration(a.Burst/a.Rate*float64(time.Second)) + time.Second
@@ -135,10 +133,9 @@
 	w.After(rest, again)
 }
 
-// An owner halves, or raises, an account's rate while callers use all of it.
-// Hosts take the new document up at different times, some with grants of the old
-// one in hand. Until the last has it the greater rate may be used; from then on
-// only the new one.
+// An account's rate is lowered or raised while callers use all of it. Hosts adopt the new document
+// at different times, some while they hold grants under the old one. Until the last has adopted it
+// the greater rate may be used; from then on only the new one.
 func TestChangedRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n string) (float64, float64) {
@@ -184,8 +181,7 @@
 	}
 }
 
-// A message of a spender comes twice, and an old one after a newer one. Neither
-// may give a home tokens back that were spent.
+// A report comes twice, or after a newer one. Neither may return tokens to a home that were spent.
 func TestReportsCountOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h quota.Home
--- a/core/quota/share.go
+++ b/core/quota/share.go
@@ -1,11 +1,12 @@
-// Package quota decides how much of a client account's rate each host may spend,
-// so that all hosts together never admit more than rate·w + burst in any window
-// w, whoever is cut off, paused, lost or restarted.
+// Package quota divides a client account's rate among the hosts, so that all
+// hosts together never admit more than rate·w + burst in any window w,
+// whichever hosts or data centres are cut off, paused, lost or restarted.
 //
-// Each data centre of the document owns a share of the account's rate and burst.
-// One host of the data centre, the home, grants that share in short-lived
-// batches of tokens, to the hosts of its own data centre and of others. A host
-// spends a batch before it expires; the home counts it until later than that.
+// Each data centre of the document owns a share of the account's rate and
+// burst. One host of the data centre, the home, grants that share in
+// short-lived batches of tokens, to the hosts of its own data centre and of
+// others. A host spends a grant before it expires; the home counts the grant
+// for longer than that.
 package quota
 
 import (
@@ -29,27 +30,29 @@
 // Tokens is a number of tokens; one token admits one exchange.
 type Tokens int64
 
-// GrantLifetime is how long a grant may be spent, by the spender's clock from the
-// moment at which it sent its request. The home loses the growth of a full
-// bucket for so long after a grant whose use it hasn't heard of, so it is short
-// against burst/rate; and long against a round trip of some milliseconds.
+// GrantLifetime is how long a grant may be spent, by the spender's clock,
+// counted from when the spender sent its request. A full bucket isn't refilled
+// for that long after a grant whose use is not reported, so GrantLifetime is
+// short against burst/rate. It is long against a round trip of some
+// milliseconds.
 const GrantLifetime = 200 * time.Millisecond
 
-// GrantCountedFor is how long the home counts a grant by its own clock. It covers clocks
-// that run apart by up to a tenth: the spender's may be slow by one part in ten
-// and the home's fast by as much.
+// GrantCountedFor is how long the home counts a grant, by its own clock. It
+// covers clock drift of a tenth on either side: the spender's clock may be slow
+// by one part in ten and the home's fast by as much.
 const GrantCountedFor = GrantLifetime + GrantLifetime*3/10
 
-// ShareOf returns the part of rate and burst that belongs to the data centre d
-// out of all, for the account a of service s.
+// ShareOf returns the share of the data centre d, out of all, in the rate and
+// burst of the account a of service s.
 //
-// The parts depend on the document alone, never on which hosts or data centres
-// can be reached, so they add up to rate and burst under any partition. And no
-// part falls when rate or burst rises: while hosts go over from one document to
-// another, the parts in effect add up to no more than those of the greater one.
-// Bursts are split in whole tokens, as a part of a token admits nothing; which
-// data centres get one more differs by account. With a burst below the number of
-// data centres some get none, and their part of the rate goes unused.
+// The shares depend on the document alone, never on which hosts or data centres
+// can be reached, so they add up to rate and burst under any partition. No
+// share falls when rate or burst rises: while hosts change from one document to
+// another, the shares in effect add up to no more than those of the greater
+// one. Bursts are split in whole tokens, as a fraction of a token admits
+// nothing; which data centres get one token more differs by account. With a
+// burst below the number of data centres some get none, and their share of the
+// rate goes unused.
 func ShareOf(rate, burst float64, s fleet.Service, a fleet.Account, d fleet.DataCentre, all []fleet.DataCentre) Share {
 	if !slices.Contains(all, d) {
 		return Share{}
--- a/core/quota/spender.go
+++ b/core/quota/spender.go
@@ -11,48 +11,50 @@
 
 // homeStatus is what a spender knows of one data centre's home.
 type homeStatus struct {
-	// requestSentAt is when the request in flight was sent; zero when none is.
+	// requestSentAt is when the pending request was sent; zero when none is.
 	requestSentAt time.Time
-	// notBefore is the time before which the home has nothing to give.
-	notBefore     time.Time
+	// notBefore is the time before which the home isn't asked again: it had too
+	// little, or didn't answer.
+	notBefore      time.Time
 	pendingReports []Report
 }
 
-// Spender holds the tokens of one account on one host. Take may be called by any
-// goroutine; all else belongs to one.
+// Spender holds the tokens of one account on one host. Take may be called by
+// any goroutine; all other methods belong to one.
 type Spender struct {
 	Host fleet.Host
 	// Own is the host's data centre, whose home is asked first.
 	Own fleet.DataCentre
 
-	// current is the stock that Take spends.
+	// current is the grant that Take spends.
 	current atomic.Pointer[heldGrant]
 	grants  []*heldGrant
-	homes map[fleet.DataCentre]*homeStatus
+	homes   map[fleet.DataCentre]*homeStatus
 	demand  demand
 	taken   atomic.Int64
-	// prefetchedAt is when stock was last asked for with nothing waiting.
+	// prefetchedAt is when tokens were last requested with no exchange waiting.
 	prefetchedAt time.Time
 }
 
-// HomeRequest is an Ask with the data centre whose home is to be asked.
+// HomeRequest is an Ask and the data centre whose home is to be asked.
 type HomeRequest struct {
 	DataCentre fleet.DataCentre
 	Ask        Ask
 }
 
-// prefetchInterval is the least time between two asks for stock alone.
+// prefetchInterval is the least time between two requests that only prefetch.
 const prefetchInterval = GrantLifetime / 4
 
-// hedgeAfter is how long an answer is waited for before another home is asked as
-// well: some round trips between data centres. A home that has just died then
-// costs an exchange that much, and not its patience.
+// hedgeAfter is how long the answer of a home is awaited before another home is
+// asked as well: some round trips between data centres. A home that has just
+// failed then delays an exchange by that much, and not up to its timeout.
 const hedgeAfter = 15 * time.Millisecond
 
-// AskTimeout is how long an answer of a home is waited for before another ask.
+// AskTimeout is how long the answer of a home is awaited before it may be asked
+// again.
 const AskTimeout = 100 * time.Millisecond
 
-// Take spends n tokens and reports whether they were at hand.
+// Take spends n tokens of the current grant and reports whether it held them.
 func (s *Spender) Take(now time.Time, n Tokens) bool {
 	c := s.current.Load()
 	if c == nil || !c.take(now, n) {
@@ -62,8 +64,8 @@
 	return true
 }
 
-// TakeAny is Take from any of the stocks; it also makes the oldest one with
-// something left the current one.
+// TakeAny spends n tokens of the oldest grant that holds as many, and makes
+// that grant the current one. It reports whether there was such a grant.
 func (s *Spender) TakeAny(now time.Time, n Tokens) bool {
 	s.dropEnded(now)
 	for _, c := range s.grants {
@@ -76,8 +78,8 @@
 	return false
 }
 
-// dropEnded drops the stocks that are spent or have expired, and notes the report of
-// each for its home.
+// dropEnded drops the grants that are spent or have expired, and queues a
+// report of each for its home.
 func (s *Spender) dropEnded(now time.Time) {
 	s.grants = slices.DeleteFunc(s.grants, func(c *heldGrant) bool {
 		if c.left.Load() > 0 && now.Before(c.expiresAt) {
@@ -88,8 +90,8 @@
 	})
 }
 
-// closeGrant gives back what is left of c with the next ask of its home. What the
-// home has counted as expired by then it ignores.
+// closeGrant returns what is left of c with the next request to its home. The
+// home ignores the report if it has expired the grant by then.
 func (s *Spender) closeGrant(c *heldGrant) {
 	home := s.home(c.home)
 	home.pendingReports = append(home.pendingReports, Report{Grant: c.id, Left: c.close(), Closed: true})
@@ -98,8 +100,8 @@
 	}
 }
 
-// maxPendingReports bounds the reports kept for a home that can't be reached; those
-// lost would have been of grants that expire there anyway.
+// maxPendingReports bounds the reports kept for a home that can't be reached.
+// The reports that are dropped are of grants that expire at the home anyway.
 const maxPendingReports = 32
 
 func (s *Spender) home(d fleet.DataCentre) *homeStatus {
@@ -114,14 +116,15 @@
 	return status
 }
 
-// Next returns the ask to send now, if any, when waiting tokens are wanted by
-// exchanges that wait.
+// Next returns the request to send now, if any; waiting is the number of tokens
+// that exchanges wait for.
 //
-// The home of the own data centre comes first, being nearest; another is asked
-// only when those before have said that they have nothing, one at a time, so
-// that a small want doesn't empty several buckets. Stock is laid in for half a
-// GrantLifetime of recent demand, from the own data centre only: a busy account costs
-// a host twenty messages a second at any rate, an idle one none.
+// The home of the own data centre comes first, being nearest. Another is asked
+// only when those before it have nothing or haven't answered within hedgeAfter,
+// one at a time, so that a small demand doesn't empty several buckets. Tokens
+// are prefetched for half a GrantLifetime of recent demand, from the own data
+// centre only: a busy account costs a host twenty messages a second at any
+// rate, an idle one none.
 func (s *Spender) Next(now time.Time, waiting Tokens, all []fleet.DataCentre) (HomeRequest, bool) {
 	s.dropEnded(now)
 	s.demand.update(now, s.taken.Load())
@@ -156,7 +159,8 @@
 	return HomeRequest{}, false
 }
 
-// homesInOrder returns the data centres in the homesInOrder in which they are asked.
+// homesInOrder returns the data centres in the order in which their homes are
+// asked, the own one first.
 func (s *Spender) homesInOrder(all []fleet.DataCentre) []fleet.DataCentre {
 	i := slices.Index(all, s.Own)
 	if i <= 0 {
@@ -165,8 +169,8 @@
 	return append(slices.Clone(all[i:]), all[:i]...)
 }
 
-// reportsFor returns what the home of d is to be told: the grants that have ended
-// since, and what is left of the others.
+// reportsFor returns the reports for the home of d: on the grants that have
+// ended since, and on what is left of the others.
 func (s *Spender) reportsFor(d fleet.DataCentre) []Report {
 	home := s.home(d)
 	out := slices.Clone(home.pendingReports)
@@ -178,8 +182,9 @@
 	return out
 }
 
-// Granted takes in the answer of d's home to an ask that was sent at sent. The
-// grant's life counts from then, which was before the home made it.
+// Granted handles the answer of d's home to the request a that was sent at
+// sent. The grant's lifetime counts from then, which was before the home made
+// it.
 func (s *Spender) Granted(now, sent time.Time, d fleet.DataCentre, a Ask, g Grant) {
 	home := s.home(d)
 	home.requestSentAt = time.Time{}
@@ -201,14 +206,15 @@
 	}
 }
 
-// minRetryInterval is how long a spender waits before it asks a home again that had too
-// little: for an account far above its rate, whose every token is waited for at
-// every host, asks would otherwise come as often as tokens. It is a sixth of the
-// time that an exchange waits, so that it refuses nobody.
+// minRetryInterval is the least time until a spender asks a home again that had
+// too little. For an account far above its rate every host waits for every
+// token, and would otherwise send as many requests as there are tokens. It is a
+// sixth of the time that an exchange waits, so that it causes no refusal.
 const minRetryInterval = 40 * time.Millisecond
 
-// Failed notes that d's home didn't answer: it isn't asked for a while, so that
-// a cut costs each exchange at most one wait.
+// Failed notes that d's home didn't answer. It isn't asked for
+// failedRetryInterval, so that a partition delays each exchange by at most one
+// such wait.
 func (s *Spender) Failed(now time.Time, d fleet.DataCentre) {
 	home := s.home(d)
 	home.requestSentAt = time.Time{}
@@ -218,8 +224,8 @@
 // failedRetryInterval is how long a home that failed is not asked.
 const failedRetryInterval = 100 * time.Millisecond
 
-// EarliestTokens returns when a home may have tokens again: now when an answer is
-// awaited or a home can be asked.
+// EarliestTokens returns when a home may have tokens again: now when an answer
+// is pending or a home can be asked.
 func (s *Spender) EarliestTokens(now time.Time, all []fleet.DataCentre) time.Time {
 	var at time.Time
 	for _, d := range all {
@@ -234,7 +240,7 @@
 	return at
 }
 
-// Available returns the tokens at hand.
+// Available returns the number of tokens at hand that haven't expired.
 func (s *Spender) Available(now time.Time) Tokens {
 	var n Tokens
 	for _, c := range s.grants {
@@ -245,8 +251,8 @@
 	return n
 }
 
-// ReturnAll ends all stocks and returns, for each home, the ask that gives the
-// unspent tokens back, so that the hosts that stay can use them at once.
+// ReturnAll ends all grants and returns, for each home, the request that gives
+// the unspent tokens back, so that the remaining hosts can use them at once.
 func (s *Spender) ReturnAll() []HomeRequest {
 	for _, c := range s.grants {
 		s.closeGrant(c)
@@ -262,14 +268,15 @@
 	return out
 }
 
-// Idle reports whether nothing was taken for d.
+// Idle reports whether no tokens have been taken for longer than d.
 func (s *Spender) Idle(now time.Time, d time.Duration) bool {
 	return now.Sub(s.demand.lastTakenAt) > d
 }
 
-// Soonest returns the least time until n tokens may be at hand, if no other host
-// wanted any: whole is the account's whole rate and burst. An exchange that has
-// so many before it and itself to wait for can't be let through any earlier.
+// Soonest returns the least time until n tokens may be at hand, if no other
+// host wanted any: whole is the account's whole rate and burst. An exchange
+// can't be admitted any earlier if it and those that wait before it need n
+// tokens.
 func (s *Spender) Soonest(now time.Time, whole Share, n Tokens, all []fleet.DataCentre) time.Duration {
 	if whole.Rate <= 0 {
 		return time.Second
--- a/core/ratelimit/account.go
+++ b/core/ratelimit/account.go
@@ -9,17 +9,17 @@
 type account struct {
 	rate, burst float64
 	// tokens is the picture of the fleet's bucket.
-	tokens float64
-	refilledAt   time.Time
+	tokens     float64
+	refilledAt time.Time
 	// admittedFraction is which admittedFraction of the operations is admitted, credit what has come together of it:
 	// one operation is admitted for each whole one.
 	admittedFraction, credit float64
-	admitted     uint64
+	admitted                 uint64
 	// demand is the moving average of what is asked for, as of demandAt; changed is when
 	// anything was last asked for or given back.
-	demand   float64
+	demand          float64
 	demandUpdatedAt time.Time
-	changedAt  time.Time
+	changedAt       time.Time
 	// partitionFraction is the part of the rate that was asked of the hosts which can be heard, when all
 	// could.
 	partitionFraction float64
--- a/core/ratelimit/hosts.go
+++ b/core/ratelimit/hosts.go
@@ -10,10 +10,10 @@
 
 // host is what is known of another host.
 type host struct {
-	epoch uint64
-	seq   uint64
+	epoch      uint64
+	seq        uint64
 	lastReport time.Time
-	usage map[fleet.Account]reportedUsage
+	usage      map[fleet.Account]reportedUsage
 }
 
 // reportedUsage is what a host has reportedUsage of an account, and when that was heard.
@@ -144,4 +144,6 @@
 }
 
 // maxReportAge is how old the report of a host may be for the picture to count as whole.
-func (f *Limiter) maxReportAge() time.Duration { return mesh.IntervalsFor(1 + len(f.peers)).HeardWithin }
+func (f *Limiter) maxReportAge() time.Duration {
+	return mesh.IntervalsFor(1 + len(f.peers)).HeardWithin
+}
--- a/core/ratelimit/ratelimit.go
+++ b/core/ratelimit/ratelimit.go
@@ -30,7 +30,7 @@
 	// unlistedHostExpiry is when a host that isn't heard, nor on the list, is left out, rememberFor
 	// how long its counts are kept: it may be cut off, and come back with the same ones.
 	unlistedHostExpiry = 3 * time.Second
-	countsKeptFor = time.Minute
+	countsKeptFor      = time.Minute
 	// demandFloor is the demand, as a part of the rate, that all hosts together are taken to have
 	// at least, evenly.
 	demandFloor = 0.16
@@ -42,7 +42,7 @@
 	reportedFor = time.Second
 	// maxOverdraft is how far, as a part of the burst, the picture of the bucket may fall below
 	// nothing before nothing is admitted any more; it is leastOverdraft operations at least.
-	maxOverdraft      = 0.05
+	maxOverdraft = 0.05
 	minOverdraft = 1.5
 	// assumedHosts stands for the number of hosts until the list of them is known.
 	assumedHosts = 8
@@ -66,10 +66,10 @@
 
 // Limiter keeps the accounts' rates on one host. The zero Limiter works.
 type Limiter struct {
-	accounts map[fleet.Account]*account
-	hosts    map[fleet.Host]*host
-	peers  fleet.Set[fleet.Host]
-	startedAt    time.Time
+	accounts  map[fleet.Account]*account
+	hosts     map[fleet.Host]*host
+	peers     fleet.Set[fleet.Host]
+	startedAt time.Time
 }
 
 func (f *Limiter) initialise(now time.Time) {
--- a/core/reference/bucket.go
+++ b/core/reference/bucket.go
@@ -11,8 +11,8 @@
 	Rate  float64
 	Burst float64
 
-	spent float64
-	updatedAt    time.Time
+	spent     float64
+	updatedAt time.Time
 }
 
 // tolerance makes up for the rounding of floating-point numbers.
--- a/core/ring/ring.go
+++ b/core/ring/ring.go
@@ -78,7 +78,7 @@
 
 	mu     sync.Mutex
 	values []T
-	oldest   int
+	oldest int
 }
 
 // DefaultRecent is how many values a zero Recent keeps.
