--- a/core/ratelimit/account.go
+++ b/core/ratelimit/account.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// account is what one host keeps of one account.
+// account is the state of one account on one host.
 type account struct {
 	rate, burst float64
-	// tokens is the picture of the fleet's bucket.
+	// tokens is the local estimate of the shared bucket.
 	tokens     float64
 	refilledAt time.Time
-	// admittedFraction is which admittedFraction of the operations is admitted, credit what has come together of it:
-	// one operation is admitted for each whole one.
+	// admittedFraction is the fraction of the operations that is admitted. It is added to credit
+	// for each operation, and one operation is admitted for each whole credit.
 	admittedFraction, credit float64
 	admitted                 uint64
-	// demand is the moving average of what is asked for, as of demandAt; changed is when
-	// anything was last asked for or given back.
+	// demand is the moving average of the operations requested a second, as of demandUpdatedAt;
+	// changedAt is when an operation was last requested or refunded.
 	demand          float64
 	demandUpdatedAt time.Time
 	changedAt       time.Time
-	// partitionFraction is the part of the rate that was asked of the hosts which can be heard, when all
-	// could.
+	// partitionFraction is the fraction of the demand that was on the hosts that still report, when
+	// all hosts last did; 1 while all report, and 0 at first.
 	partitionFraction float64
-	// discarded is what has not come into the pool since then, because it was full or is for
-	// the others.
+	// discarded is the number of tokens that weren't added to the estimate since then, because it
+	// was full or because they belong to the other hosts.
 	discarded float64
 }
 
-// addRemote takes from the picture of the bucket what another host has admitted. late tells that
-// the host wasn't heard for a while.
+// addRemote subtracts from the local estimate what another host has admitted; late tells that the
+// host hadn't reported for a while.
 //
-// The guard is for the end of a cut. The picture was refilled meanwhile as if the other side
-// had stood still, and was full most of the time; to take all that the other side has
-// admitted from it at once had callers within their rate refused on all hosts, for a second
-// and more. What came when the picture was full was lost to it, and covers the late news.
+// Guards against refusals at the end of a partition. Meanwhile the estimate was refilled as if the
+// other side had admitted nothing, and was full most of the time. Subtracting all that the other
+// side had admitted at once made all hosts refuse callers within their rate, for a second and more.
+// The tokens that were discarded while the estimate was full cover the late report.
 func (a *account) addRemote(admitted float64, late bool) {
 	if late {
 		covered := max(min(admitted, a.discarded), 0)
@@ -44,15 +44,16 @@
 	a.tokens -= admitted
 }
 
-// retryAfter says when a refused caller is to come back: when what was admitted too much is made
-// up for, and by how much more is asked for than may be admitted.
+// retryAfter returns how long a refused caller should wait: until the excess of admissions is made
+// up for, and longer the smaller the admitted fraction is.
 func (a *account) retryAfter(level, reachable float64) time.Duration {
 	rate := a.rate * reachable
 	d := max(-level, 0)/rate + minRetryAfter.Seconds()/max(a.admittedFraction, minRetryAfter.Seconds())
 	return min(max(time.Duration(d*float64(time.Second)), minRetryAfter), maxRetryAfter)
 }
 
-// refill adds to the picture of the bucket what has come since, for the hosts that are heard.
+// refill adds the tokens that have accrued since the last call to the local estimate, for the hosts
+// that report.
 func (a *account) refill(now time.Time, reachable float64) {
 	d := now.Sub(a.refilledAt).Seconds()
 	a.refilledAt = now
@@ -62,14 +63,14 @@
 	a.discarded += a.rate*(1-reachable)*d + overflow
 }
 
-// countRequest counts one operation into the demand.
+// countRequest adds one operation to the demand.
 func (a *account) countRequest(now time.Time) {
 	a.decayDemand(now)
 	a.changedAt = now
 	a.demand += 1 / demandWindow.Seconds()
 }
 
-// decayDemand lets the demand fall by the time that has passed.
+// decayDemand lowers the demand for the time that has passed.
 func (a *account) decayDemand(now time.Time) {
 	d := now.Sub(a.demandUpdatedAt).Seconds() / demandWindow.Seconds()
 	a.demandUpdatedAt = now
--- a/core/ratelimit/fleet_test.go
+++ b/core/ratelimit/fleet_test.go
@@ -11,26 +11,26 @@
 	"skylarkdeal/core/ratelimit"
 )
 
-// fleetOf is some hosts that report to each other, with the operations that they admitted.
-type fleetOf struct {
+// testFleet is a number of hosts that report to each other, with the operations that they admitted.
+type testFleet struct {
 	now      time.Time
 	hosts    []*ratelimit.Limiter
 	seq      uint64
 	epochs   map[int]uint64
 	admitted []time.Time
 	refused  int
-	// cut tells whether a report from one host reaches another.
-	cut func(from, to int) bool
+	// partitioned tells whether reports from one host to another are lost.
+	partitioned func(from, to int) bool
 }
 
-func newFleet(n int) *fleetOf {
-	f := &fleetOf{now: time.Unix(1000, 0), epochs: map[int]uint64{}, cut: func(int, int) bool { return false }}
+func newFleet(n int) *testFleet {
+	f := &testFleet{now: time.Unix(1000, 0), epochs: map[int]uint64{}, partitioned: func(int, int) bool { return false }}
 	for i := range n {
 		h := &ratelimit.Limiter{}
 		var others []fleet.Host
 		for o := range n {
 			if o != i {
-				others = append(others, name(o))
+				others = append(others, hostName(o))
 			}
 		}
 		h.SetPeers(f.now, others)
@@ -40,12 +40,12 @@
 }
 
 // restart replaces the process of one host.
-func (f *fleetOf) restart(n int) {
+func (f *testFleet) restart(n int) {
 	h := &ratelimit.Limiter{}
 	var others []fleet.Host
 	for o := range f.hosts {
 		if o != n {
-			others = append(others, name(o))
+			others = append(others, hostName(o))
 		}
 	}
 	h.SetPeers(f.now, others)
@@ -53,8 +53,8 @@
 	f.epochs[n]++
 }
 
-// even returns the load of each of n hosts when all are asked for alike.
-func even(n int, perHost float64) []float64 {
+// evenLoad returns the load of each of n hosts when all have the same.
+func evenLoad(n int, perHost float64) []float64 {
 	out := make([]float64, n)
 	for i := range out {
 		out[i] = perHost
@@ -62,10 +62,11 @@
 	return out
 }
 
-func name(n int) fleet.Host { return fleet.Host(fmt.Sprintf("h%d", n)) }
+func hostName(n int) fleet.Host { return fleet.Host(fmt.Sprintf("h%d", n)) }
 
-// run plays a load for some time: perSecond is what each host is asked for.
-func (f *fleetOf) run(d time.Duration, a catalog.Account, perSecond []float64) {
+// run plays a load for some time: perSecond is the number of operations requested of each host a
+// second.
+func (f *testFleet) run(d time.Duration, a catalog.Account, perSecond []float64) {
 	const step = 10 * time.Millisecond
 	r := rand.New(rand.NewPCG(1, 2))
 	for n := range int(d / step) {
@@ -88,19 +89,19 @@
 	}
 }
 
-func (f *fleetOf) report() {
+func (f *testFleet) report() {
 	f.seq++
 	for i, h := range f.hosts {
 		for o := range f.hosts {
-			if o != i && !f.cut(i, o) {
-				f.hosts[o].AddReport(f.now, name(i), f.epochs[i], f.seq, h.Usage(f.now, f.seq%10 == 0))
+			if o != i && !f.partitioned(i, o) {
+				f.hosts[o].AddReport(f.now, hostName(i), f.epochs[i], f.seq, h.Usage(f.now, f.seq%10 == 0))
 			}
 		}
 	}
 }
 
-// most returns the most operations that were admitted in any window.
-func (f *fleetOf) most(window time.Duration) int {
+// maxAdmitted returns the greatest number of operations that were admitted in any window.
+func (f *testFleet) maxAdmitted(window time.Duration) int {
 	best, from := 0, 0
 	for n, t := range f.admitted {
 		for t.Sub(f.admitted[from]) >= window {
@@ -115,4 +116,4 @@
 
 const window = 5 * time.Second
 
-func limit(a catalog.Account) int { return int((a.Rate*window.Seconds()+a.Burst)*1.1) + 20 }
+func maxAllowed(a catalog.Account) int { return int((a.Rate*window.Seconds()+a.Burst)*1.1) + 20 }
--- a/core/ratelimit/hosts.go
+++ b/core/ratelimit/hosts.go
@@ -8,7 +8,7 @@
 	"skylarkdeal/core/mesh"
 )
 
-// host is what is known of another host.
+// host holds the reports of another host.
 type host struct {
 	epoch      uint64
 	seq        uint64
@@ -16,14 +16,14 @@
 	usage      map[fleet.Account]reportedUsage
 }
 
-// reportedUsage is what a host has reportedUsage of an account, and when that was heard.
+// reportedUsage is a host's last report on an account, with the time at which it came.
 type reportedUsage struct {
 	Usage
 	reportedAt time.Time
 }
 
-// demand returns what was asked for of an account when the host was last heard. What it
-// hasn't told again has not been asked for since.
+// demand returns the demand for an account as of the host's last report. An account that later
+// reports leave out has not been requested since.
 func (h *host) demand(n fleet.Account) float64 {
 	t := h.usage[n]
 	if t.Demand == 0 {
@@ -32,7 +32,8 @@
 	return t.Demand * math.Exp(-h.lastReport.Sub(t.reportedAt).Seconds()/demandWindow.Seconds())
 }
 
-// SetPeers tells which other hosts there are.
+// SetPeers sets the list of the other hosts. The counts of a host that isn't on it are dropped
+// countsKeptFor after its last report.
 func (f *Limiter) SetPeers(now time.Time, hs []fleet.Host) {
 	f.initialise(now)
 	f.peers = fleet.NewSet(hs...)
@@ -43,8 +44,7 @@
 	}
 }
 
-// AddReport takes in another host's report. Reports of one process that are late or doubled
-// change nothing.
+// AddReport handles another host's report. Late and duplicate reports of one process are ignored.
 func (f *Limiter) AddReport(now time.Time, from fleet.Host, epoch, seq uint64, usages []Usage) {
 	f.initialise(now)
 	h := f.hosts[from]
@@ -56,7 +56,7 @@
 		h = &host{epoch: epoch, usage: map[fleet.Account]reportedUsage{}}
 		f.hosts[from] = h
 	}
-	// What hosts have admitted before this process began is none of its matter.
+	// What hosts admitted before this process started isn't subtracted here.
 	baseline := !known && now.Sub(f.startedAt) < demandWindow
 	late := now.Sub(h.lastReport) > f.maxReportAge()
 	h.seq, h.lastReport = seq, now
@@ -69,17 +69,17 @@
 		}
 		admitted := float64(u.Admitted) - float64(before.Admitted)
 		if !reported {
-			// The first word of a process may count from long ago: no more than the last of
-			// it is still to be made up for.
+			// The first report on an account may count operations from long ago: only those of the
+			// last demandWindow still have to be made up for.
 			admitted = min(admitted, u.Demand*demandWindow.Seconds())
 		}
 		a.addRemote(admitted, late)
 	}
 }
 
-// unreported guesses what the other hosts have admitted since their last reports: the same part
-// as this one of what is asked of them. Without it each host gives away, in a sudden flood,
-// what all believe to be left.
+// unreported estimates what the other hosts have admitted since their last reports, from the
+// fraction that this host admits. Without it, in a sudden flood, each host admits all that every
+// host believes to be left.
 func (f *Limiter) unreported(now time.Time, a *account, n fleet.Account) float64 {
 	sum := 0.0
 	for name, h := range f.hosts {
@@ -90,7 +90,8 @@
 	return sum
 }
 
-// allHeard reports whether all other hosts have told lately what they admit.
+// allHeard reports whether the list of the other hosts is known and all of them have reported
+// lately.
 func (f *Limiter) allHeard(now time.Time) bool {
 	if f.peers == nil {
 		return false
@@ -103,11 +104,11 @@
 	return true
 }
 
-// reachableFraction returns the part of the rate that the hosts which are heard may admit: what was asked
-// of them, of all that was asked for.
+// reachableFraction returns the fraction of the rate that the hosts that report may admit: their
+// part of the demand on all hosts.
 //
-// While a host isn't heard that part doesn't grow: the other reachableFraction of a cut sees its own
-// demand grow as well, and both would add up to twice the rate.
+// While a host doesn't report, that fraction doesn't grow: the other side of a partition sees its
+// own demand grow as well, and both fractions would add up to twice the rate.
 func (f *Limiter) reachableFraction(now time.Time, a *account, n fleet.Account) float64 {
 	if f.peers == nil {
 		return 1.0 / assumedHosts
@@ -117,7 +118,7 @@
 		return 1
 	}
 	minDemand := a.rate * demandFloor / float64(1+len(f.peers))
-	heard, all := a.demand+minDemand, a.demand+minDemand
+	reported, all := a.demand+minDemand, a.demand+minDemand
 	for name := range f.peers {
 		h := f.hosts[name]
 		if h == nil {
@@ -127,23 +128,22 @@
 		d := h.demand(n) + minDemand
 		all += d
 		if now.Sub(h.lastReport) <= f.maxReportAge() {
-			heard += d
+			reported += d
 		}
 	}
-	fraction := heard / all
+	fraction := reported / all
 	if a.partitionFraction == 0 || a.partitionFraction == 1 {
 		a.partitionFraction = fraction
 	}
 	return min(fraction, a.partitionFraction)
 }
 
-// counted reports whether a host has a share of the rates: it is on the list, or was heard
-// lately.
+// counted reports whether a host's demand counts: it is on the list, or has reported lately.
 func (f *Limiter) counted(now time.Time, n fleet.Host, h *host) bool {
 	return f.peers.Has(n) || now.Sub(h.lastReport) <= unlistedHostExpiry
 }
 
-// maxReportAge is how old the report of a host may be for the picture to count as whole.
+// maxReportAge is the age up to which a host's last report counts as current.
 func (f *Limiter) maxReportAge() time.Duration {
 	return mesh.IntervalsFor(1 + len(f.peers)).HeardWithin
 }
--- a/core/ratelimit/ratelimit.go
+++ b/core/ratelimit/ratelimit.go
@@ -1,14 +1,14 @@
-// Package ratelimit keeps each client account within its rate and burst over the whole
-// fleet, without a call for each operation: hosts tell each other several times a
-// second what they have admitted and how much is asked for.
+// Package ratelimit keeps each client account within its rate and burst on all hosts together,
+// without a call for each operation: several times a second, hosts report to each other what they
+// have admitted and how much is requested.
 //
-// Each host keeps a picture of the fleet's bucket of tokens for an account: what it admits is
-// taken at once, what others admit when they tell of it. While plenty is left, whoever is
-// asked admits. When little is left each host admits one in so many of the operations that
-// it is asked for, the same part everywhere, so that all hosts together admit the rate:
-// callers are spread unevenly and, of a small account, thinly, so that a part of the rate for
-// each host would be left unused on most. While some hosts can't be heard, those that hear
-// each other share the part of the rate that was asked of them before.
+// Each host keeps a local estimate of the token bucket that all hosts share for an account. What it
+// admits itself is subtracted at once, what others admit when they report it. While the bucket is
+// well filled, every host admits all operations. When little is left, every host admits the same
+// fraction of the operations that are requested of it, so that all hosts together admit the rate.
+// With a fixed share of the rate for each host, most shares would be left unused, as callers are
+// spread unevenly and, for a small account, thinly. While some hosts don't report, those that hear
+// each other share the part of the rate that was requested of them before.
 package ratelimit
 
 import (
@@ -20,51 +20,52 @@
 )
 
 const (
-	// fullAdmissionLevel is the part of the burst above which all operations are admitted. The other half
-	// is for what the others have admitted but not told of yet: a quarter of a second of
-	// an account that sends eight times its usual.
+	// fullAdmissionLevel is the fraction of the burst above which all operations are admitted. The
+	// other half is for what other hosts have admitted but not reported yet: a quarter of a second
+	// of an account that sends eight times its usual rate.
 	fullAdmissionLevel = 0.5
-	// levelCorrectionTime is the time over which what is left below plenty may be used up, or what was
-	// admitted too much is made up for: some reports.
+	// levelCorrectionTime is the time over which what is left below fullAdmissionLevel may be used
+	// up, or an excess of admissions is made up for: some report intervals.
 	levelCorrectionTime = time.Second
-	// unlistedHostExpiry is when a host that isn't heard, nor on the list, is left out, rememberFor
-	// how long its counts are kept: it may be cut off, and come back with the same ones.
+	// unlistedHostExpiry is how long after its last report a host that isn't on the list still
+	// counts, countsKeptFor how long its counts are kept: it may be cut off, and return with the
+	// same ones.
 	unlistedHostExpiry = 3 * time.Second
 	countsKeptFor      = time.Minute
-	// demandFloor is the demand, as a part of the rate, that all hosts together are taken to have
-	// at least, evenly.
+	// demandFloor is the least demand that all hosts together are assumed to have, as a fraction of
+	// the rate, spread evenly over them.
 	demandFloor = 0.16
-	// demandWindow is the time over which demand is averaged.
+	// demandWindow is the time constant of the moving average of the demand.
 	demandWindow = time.Second
-	// reportedFor is how long after its last operation an account is told of in each report: two
-	// reports of a large fleet, five of a small one. What is lost with both is told by the
-	// next operation, or when all is told.
+	// reportedFor is how long after its last operation an account is included in each report: two
+	// reports of a large fleet, five of a small one. If all of these are lost, the next operation
+	// or the next full report makes up for them.
 	reportedFor = time.Second
-	// maxOverdraft is how far, as a part of the burst, the picture of the bucket may fall below
-	// nothing before nothing is admitted any more; it is leastOverdraft operations at least.
+	// maxOverdraft is how far the local estimate of the bucket may fall below 0, as a fraction of
+	// the burst, before nothing is admitted; it is minOverdraft operations at least.
 	maxOverdraft = 0.05
 	minOverdraft = 1.5
-	// assumedHosts stands for the number of hosts until the list of them is known.
+	// assumedHosts is the number of hosts that is assumed until their list is known.
 	assumedHosts = 8
-	// initialFraction is the part of the burst that a process begins with: all hosts may start
-	// at once, after others have spent the burst.
+	// initialFraction is the fraction of the burst that a process starts with: all hosts may start
+	// at once, after the burst has been spent.
 	initialFraction = 0.55
-	// minRetryAfter keeps a refused caller from coming back at once, maxWait from staying away
-	// once others have gone.
+	// minRetryAfter keeps a refused caller from retrying at once, maxRetryAfter from staying away
+	// after the load has fallen.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = time.Second
 )
 
-// Usage is what one host tells of one account.
+// Usage is what one host reports of one account.
 type Usage struct {
 	Account fleet.Account
-	// Admitted counts operations since the host's process began, less those returned,
-	// Demand those asked for, a second.
+	// Admitted counts the operations admitted since the host's process started, less those
+	// refunded. Demand is the number of operations requested a second.
 	Admitted uint64
 	Demand   float64
 }
 
-// Limiter keeps the accounts' rates on one host. The zero Limiter works.
+// Limiter applies the accounts' rates on one host. The zero Limiter works.
 type Limiter struct {
 	accounts  map[fleet.Account]*account
 	hosts     map[fleet.Host]*host
@@ -80,7 +81,8 @@
 	}
 }
 
-// Admit takes one operation from an account's rate, or says when to come back.
+// Admit takes one operation from an account's rate and reports whether there was one. If not, it
+// returns after which time the caller should retry. An account with no rate isn't limited.
 func (f *Limiter) Admit(now time.Time, c catalog.Account) (time.Duration, bool) {
 	if c.Rate <= 0 {
 		return 0, true
@@ -105,9 +107,9 @@
 	return 0, true
 }
 
-// admittedFraction returns which admittedFraction of an account's operations the hosts that hear each other may admit
-// now, for all of them together to admit their side of the rate and, besides, what is left
-// in the bucket.
+// admittedFraction returns the fraction of an account's operations that the hosts that hear each
+// other may admit now, so that all of them together admit their part of the rate and, in addition,
+// what is left in the bucket.
 func (f *Limiter) admittedFraction(a *account, n fleet.Account, level, reachable float64) float64 {
 	if level >= a.burst*reachable*fullAdmissionLevel {
 		return 1
@@ -116,8 +118,8 @@
 	return min(1, max(rate, 0)/max(f.demand(a, n), 1))
 }
 
-// demand returns what is asked for of an account, a second, on all hosts that are heard. One
-// that was never heard is taken to be asked for as much as this one.
+// demand returns how many operations of an account are requested a second on all hosts, as last
+// reported. A host that has never reported is assumed to have the demand of this one.
 func (f *Limiter) demand(a *account, n fleet.Account) float64 {
 	sum := a.demand
 	for name := range f.peers {
@@ -130,8 +132,8 @@
 	return sum
 }
 
-// Refund gives back an operation that was admitted and not run: the account would else
-// pay for what it was refused, as when a primary is lost and all its callers try again.
+// Refund returns an operation that was admitted and not run. Otherwise the account would be charged
+// for operations that were refused, for example when a primary is lost and all its callers retry.
 func (f *Limiter) Refund(n fleet.Account) {
 	a := f.accounts[n]
 	if a == nil || a.admitted == 0 {
@@ -146,7 +148,10 @@
 func (f *Limiter) account(now time.Time, c catalog.Account) *account {
 	a := f.accounts[c.Name]
 	if a == nil {
-		a = &account{refilledAt: now, demandUpdatedAt: now, admittedFraction: 1, credit: rand.Float64(), rate: c.Rate, burst: max(c.Burst, 1)}
+		a = &account{
+			refilledAt: now, demandUpdatedAt: now, admittedFraction: 1, credit: rand.Float64(),
+			rate: c.Rate, burst: max(c.Burst, 1),
+		}
 		a.tokens = f.initialTokens(now, c) * f.reachableFraction(now, a, c.Name)
 		f.accounts[c.Name] = a
 	}
@@ -154,8 +159,9 @@
 	return a
 }
 
-// initialTokens guesses what the fleet's bucket holds of an account that is asked for here for
-// the first time: little when the process begins, and what others have left since.
+// initialTokens estimates the tokens in the shared bucket of an account that is requested here for
+// the first time: initialFraction of the burst, and what the other hosts have left unused since the
+// process started.
 func (f *Limiter) initialTokens(now time.Time, c catalog.Account) float64 {
 	left := c.Rate
 	for name, h := range f.hosts {
@@ -166,9 +172,9 @@
 	return min(c.Burst, c.Burst*initialFraction+max(left, 0)*now.Sub(f.startedAt).Seconds())
 }
 
-// Usage returns what this host has to tell of its accounts: of those that were asked for
-// lately, or of all. Whoever hears of all now and then misses nothing for long, as counts
-// are running totals.
+// Usage returns this host's report on its accounts: on those with recent operations, or on all. The
+// counts are running totals, so a host that receives a full report now and then makes up for lost
+// ones.
 func (f *Limiter) Usage(now time.Time, all bool) []Usage {
 	var out []Usage
 	for n, a := range f.accounts {
--- a/core/ratelimit/ratelimit_test.go
+++ b/core/ratelimit/ratelimit_test.go
@@ -12,14 +12,15 @@
 	"skylarkdeal/core/ratelimit"
 )
 
-// A hotel chain sends eight times its usual, unevenly over the hosts. It gets its rate,
-// and hardly more.
+// An account sends eight times its usual load, unevenly over the hosts. It gets its rate, and
+// hardly more.
 func TestFloodGetsItsRate(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(6)
 	f.run(20*time.Second, hotel, []float64{5, 5, 5, 5, 5, 20})
 	f.run(20*time.Second, hotel, []float64{40, 40, 40, 40, 40, 160})
-	c.Assert(f.most(window) <= limit(hotel), qt.IsTrue, qt.Commentf("%d of %d", f.most(window), limit(hotel)))
+	c.Assert(f.maxAdmitted(window) <= maxAllowed(hotel), qt.IsTrue,
+		qt.Commentf("%d of %d", f.maxAdmitted(window), maxAllowed(hotel)))
 	served := 0
 	for _, t := range f.admitted {
 		if f.now.Sub(t) < 10*time.Second {
@@ -29,9 +30,8 @@
 	c.Assert(float64(served) >= 0.9*hotel.Rate*10, qt.IsTrue, qt.Commentf("%d in the last 10 s", served))
 }
 
-// A large account turns hot after a rest, with its burst untouched: on eight hosts at once,
-// several times its rate. What they admit before they hear of each other comes on top of
-// the burst.
+// A large account with a full burst sends several times its rate on eight hosts at once. What they
+// admit before they receive each other's reports comes on top of the burst.
 func TestSuddenFloodStaysWithinTheBurst(t *testing.T) {
 	c := qt.New(t)
 	chain := catalog.Account{Name: "chain", Rate: 175, Burst: 175}
@@ -45,7 +45,8 @@
 		f.run(10*time.Second, chain, usual)
 		f.run(10*time.Second, chain, flood)
 		base := chain.Rate*window.Seconds() + chain.Burst
-		c.Check(float64(f.most(window)) <= base*1.07, qt.IsTrue, qt.Commentf("hot %g: %d of %g", hot, f.most(window), base))
+		c.Check(float64(f.maxAdmitted(window)) <= base*1.07, qt.IsTrue,
+			qt.Commentf("hot %g: %d of %g", hot, f.maxAdmitted(window), base))
 		served := 0
 		for _, t := range f.admitted {
 			if f.now.Sub(t) < 4*time.Second {
@@ -56,9 +57,9 @@
 	}
 }
 
-// Half of the hosts are killed while an account is hot, and start again: they don't know
-// what the others have admitted, and each had most of a burst to give. 1,178 operations
-// were run in 5 s where 1,175 were allowed.
+// Half of the hosts are killed while an account is above its rate, and start again without knowing
+// what the others have admitted. When each started with most of a burst, 1,178 operations were run
+// in 5 s where 1,175 were allowed.
 func TestHostsThatStartDoNotGiveTheBurstAgain(t *testing.T) {
 	c := qt.New(t)
 	chain := catalog.Account{Name: "chain", Rate: 175, Burst: 175}
@@ -75,10 +76,10 @@
 	}
 	f.run(10*time.Second, chain, flood)
 	base := chain.Rate*window.Seconds() + chain.Burst*0.2
-	c.Assert(float64(f.most(window)) <= base, qt.IsTrue, qt.Commentf("%d of %g", f.most(window), base))
+	c.Assert(float64(f.maxAdmitted(window)) <= base, qt.IsTrue, qt.Commentf("%d of %g", f.maxAdmitted(window), base))
 }
 
-// Callers come to one host out of six, and then to another. Within the account's rate none
+// Callers come to one host out of six, and then to another. Within the account's rate no operation
 // is refused.
 func TestSkewWithinTheRateIsServed(t *testing.T) {
 	c := qt.New(t)
@@ -88,22 +89,23 @@
 	c.Assert(f.refused, qt.Equals, 0)
 }
 
-// The network splits while a flood goes on. Nobody hears what the other half admits; the
-// shares of before hold, which add up to the whole.
-func TestCutFleetStaysWithinTheRate(t *testing.T) {
+// The network is partitioned during a flood, and neither half receives the reports of the other.
+// Each keeps its fraction of the rate from before, and both add up to the whole.
+func TestPartitionDuringFloodStaysWithinTheRate(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(6)
 	flood := []float64{40, 40, 40, 40, 40, 40}
 	f.run(10*time.Second, hotel, flood)
-	f.cut = func(from, to int) bool { return (from < 3) != (to < 3) }
+	f.partitioned = func(from, to int) bool { return (from < 3) != (to < 3) }
 	f.admitted = nil
 	f.run(10*time.Second, hotel, flood)
-	c.Assert(f.most(window) <= limit(hotel), qt.IsTrue, qt.Commentf("%d of %d", f.most(window), limit(hotel)))
+	c.Assert(f.maxAdmitted(window) <= maxAllowed(hotel), qt.IsTrue,
+		qt.Commentf("%d of %d", f.maxAdmitted(window), maxAllowed(hotel)))
 }
 
-// The network splits, and an account turns hot afterwards. Each side sees the demand grow on
-// its own hosts only, and gave them nearly all of the rate.
-func TestFloodAfterACutStaysWithinTheRate(t *testing.T) {
+// The network is partitioned, and then an account exceeds its rate. Each side saw the demand grow
+// on its own hosts only, and allotted them nearly all of the rate.
+func TestFloodDuringPartitionStaysWithinTheRate(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(8)
 	usual, flood := make([]float64, 8), make([]float64, 8)
@@ -111,74 +113,74 @@
 		usual[n], flood[n] = 5, 40
 	}
 	f.run(10*time.Second, hotel, usual)
-	f.cut = func(from, to int) bool { return (from < 4) != (to < 4) }
+	f.partitioned = func(from, to int) bool { return (from < 4) != (to < 4) }
 	f.run(3*time.Second, hotel, usual)
 	f.run(10*time.Second, hotel, flood)
-	c.Assert(f.most(window) <= limit(hotel), qt.IsTrue, qt.Commentf("%d of %d", f.most(window), limit(hotel)))
+	c.Assert(f.maxAdmitted(window) <= maxAllowed(hotel), qt.IsTrue,
+		qt.Commentf("%d of %d", f.maxAdmitted(window), maxAllowed(hotel)))
 }
 
-// Two of eight hosts are cut off for six seconds and come back, with all accounts well
-// within their rate. Callers on all hosts were refused for a second after the end of the
-// cut: what the two had admitted meanwhile was taken from the picture of the bucket at
-// once, which had been refilled as if nobody else had used it and was full.
-func TestEndOfACutRefusesNobodyWithinTheRate(t *testing.T) {
+// Two of eight hosts are cut off for six seconds, with all accounts well within their rate. All
+// hosts refused callers for a second after the end of the partition: what the two had admitted was
+// subtracted at once from a local estimate that had been refilled as if no other host had used it,
+// and was full.
+func TestEndOfPartitionRefusesNoneWithinTheRate(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(8)
-	usual := even(8, 5.5)
+	usual := evenLoad(8, 5.5)
 	f.run(10*time.Second, hotel, usual)
-	f.cut = func(from, to int) bool { return (from < 2) != (to < 2) }
+	f.partitioned = func(from, to int) bool { return (from < 2) != (to < 2) }
 	f.run(6*time.Second, hotel, usual)
-	f.cut = func(int, int) bool { return false }
+	f.partitioned = func(int, int) bool { return false }
 	f.refused = 0
 	f.run(4*time.Second, hotel, usual)
 	c.Assert(f.refused <= 2, qt.IsTrue, qt.Commentf("%d refused", f.refused))
 }
 
-// The same cut lasts for longer, and the two hosts are off the list of hosts when they come
-// back: what they had admitted since they started was taken from the bucket once more.
-func TestHostThatWasForgottenComesBack(t *testing.T) {
+// The same partition lasts for longer, and the two hosts are off the list of hosts when they
+// return: what they had admitted since they started was subtracted once more.
+func TestHostOffTheListIsNotCountedTwice(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(8)
-	usual := even(8, 5.5)
+	usual := evenLoad(8, 5.5)
 	f.run(10*time.Second, hotel, usual)
-	f.cut = func(from, to int) bool { return (from < 2) != (to < 2) }
+	f.partitioned = func(from, to int) bool { return (from < 2) != (to < 2) }
 	f.run(4*time.Second, hotel, usual)
 	for n, h := range f.hosts[2:] {
 		var others []fleet.Host
 		for o := 2; o < 8; o++ {
 			if o != n+2 {
-				others = append(others, name(o))
+				others = append(others, hostName(o))
 			}
 		}
 		h.SetPeers(f.now, others)
 	}
 	f.run(2*time.Second, hotel, usual)
-	f.cut = func(int, int) bool { return false }
+	f.partitioned = func(int, int) bool { return false }
 	f.refused = 0
 	f.run(4*time.Second, hotel, usual)
 	c.Assert(f.refused <= 2, qt.IsTrue, qt.Commentf("%d refused", f.refused))
 }
 
-// The network splits, an account floods both sides, and the split heals while the flood goes
-// on: what either side has admitted beyond what was expected of it still counts.
-func TestEndOfACutInAFloodStaysWithinTheRate(t *testing.T) {
+// The network is partitioned, an account floods both sides, and the partition ends during the
+// flood: what either side has admitted beyond its expected part still counts.
+func TestEndOfPartitionInFloodStaysWithinTheRate(t *testing.T) {
 	c := qt.New(t)
 	for _, part := range []int{1, 2, 4} {
 		f := newFleet(8)
-		usual, flood := even(8, 5), even(8, 40)
+		usual, flood := evenLoad(8, 5), evenLoad(8, 40)
 		f.run(10*time.Second, hotel, usual)
-		f.cut = func(from, to int) bool { return (from < part) != (to < part) }
+		f.partitioned = func(from, to int) bool { return (from < part) != (to < part) }
 		f.run(2*time.Second, hotel, usual)
 		f.run(4*time.Second, hotel, flood)
-		f.cut = func(int, int) bool { return false }
+		f.partitioned = func(int, int) bool { return false }
 		f.run(6*time.Second, hotel, flood)
-		most := f.most(window)
-		c.Check(most <= limit(hotel), qt.IsTrue, qt.Commentf("%d cut off: %d of %d", part, most, limit(hotel)))
+		most := f.maxAdmitted(window)
+		c.Check(most <= maxAllowed(hotel), qt.IsTrue, qt.Commentf("%d cut off: %d of %d", part, most, maxAllowed(hotel)))
 	}
 }
 
-// All hosts start at once and don't know each other yet. They must not each give the whole
-// burst away.
+// All hosts start at once and don't know each other yet. They must not each admit the whole burst.
 func TestStartOfAllHostsGivesOneBurst(t *testing.T) {
 	c := qt.New(t)
 	total := 0
@@ -193,9 +195,10 @@
 	c.Assert(total <= int(hotel.Burst), qt.IsTrue, qt.Commentf("%d", total))
 }
 
-// A group has no primary, and callers try again and again. What was refused unrun must not
-// use up the account's rate, so that the first after the change are served.
-func TestReturnedOperationsCostNothing(t *testing.T) {
+// A group has no primary, and callers retry again and again. Operations that were refused without
+// being run must not use up the account's rate, so that the first ones after the change of primary
+// are served.
+func TestRefundedOperationsAreNotCharged(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(1)
 	f.run(time.Second, hotel, []float64{0})
@@ -206,7 +209,7 @@
 	}
 }
 
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRefusalReturnsRetryTime(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(1)
 	small := catalog.Account{Name: "kiosk", Rate: 2, Burst: 1}
@@ -217,7 +220,7 @@
 	c.Assert(wait > 0 && wait <= time.Second, qt.IsTrue, qt.Commentf("%s", wait))
 }
 
-func TestLateReportChangesNothing(t *testing.T) {
+func TestLateReportIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(2)
 	now := f.now
@@ -232,30 +235,32 @@
 	c.Assert(ok, qt.IsTrue)
 }
 
-// A small account is asked for on eighty hosts, once in twenty seconds on each. Well within
-// its rate nearly none is refused: its rate, dealt out in eighty parts, lay unused on most.
+// A small account is requested on eighty hosts, once in twenty seconds on each. Well within its
+// rate nearly none is refused. When its rate was divided into eighty shares, most shares were left
+// unused.
 func TestThinlySpreadAccountIsServed(t *testing.T) {
 	c := qt.New(t)
 	kiosk := catalog.Account{Name: "kiosk", Rate: 5, Burst: 5}
 	f := newFleet(80)
-	usual := even(80, 3.0/80)
+	usual := evenLoad(80, 3.0/80)
 	f.run(60*time.Second, kiosk, usual)
 	asked := len(f.admitted) + f.refused
 	c.Assert(f.refused*20 <= asked, qt.IsTrue, qt.Commentf("%d of %d refused", f.refused, asked))
 }
 
-// The same account, a middling and a large one send eight times their usual over eighty
-// hosts. Each gets its rate, and what comes on top while hosts haven't heard of each other
-// stays within what is allowed.
+// A small, two middling and a large account send eight times their usual load over eighty hosts.
+// Each gets its rate, and what is admitted on top before hosts receive each other's reports stays
+// within the limit.
 func TestFloodOverManyHostsGetsItsRate(t *testing.T) {
 	c := qt.New(t)
 	for _, rate := range []float64{5, 20, 40, 100} {
 		a := catalog.Account{Name: "a", Rate: rate, Burst: rate}
 		f := newFleet(80)
-		usual, flood := even(80, rate/1.6/80), even(80, 8*rate/1.6/80)
+		usual, flood := evenLoad(80, rate/1.6/80), evenLoad(80, 8*rate/1.6/80)
 		f.run(20*time.Second, a, usual)
 		f.run(20*time.Second, a, flood)
-		c.Check(f.most(window) <= limit(a), qt.IsTrue, qt.Commentf("rate %g: %d of %d", rate, f.most(window), limit(a)))
+		c.Check(f.maxAdmitted(window) <= maxAllowed(a), qt.IsTrue,
+			qt.Commentf("rate %g: %d of %d", rate, f.maxAdmitted(window), maxAllowed(a)))
 		served := 0
 		for _, t := range f.admitted {
 			if f.now.Sub(t) < 10*time.Second {
@@ -266,19 +271,20 @@
 	}
 }
 
-// Fifteen of eighty hosts are cut off while all accounts stay within their rate, then the rest
-// of the fleet floods: both sides serve, and together keep the rate.
-func TestCutOfALargeFleet(t *testing.T) {
+// Fifteen of eighty hosts are cut off while all accounts stay within their rate, then the account
+// floods all hosts: both sides serve, and together they keep the rate.
+func TestPartitionOfLargeFleetStaysWithinTheRate(t *testing.T) {
 	c := qt.New(t)
 	chain := catalog.Account{Name: "chain", Rate: 60, Burst: 60}
 	f := newFleet(80)
-	usual, flood := even(80, 37.0/80), even(80, 300.0/80)
+	usual, flood := evenLoad(80, 37.0/80), evenLoad(80, 300.0/80)
 	f.run(20*time.Second, chain, usual)
-	f.cut = func(from, to int) bool { return (from < 15) != (to < 15) }
+	f.partitioned = func(from, to int) bool { return (from < 15) != (to < 15) }
 	f.refused, f.admitted = 0, nil
 	f.run(10*time.Second, chain, usual)
 	asked := len(f.admitted) + f.refused
-	c.Check(f.refused*8 <= asked, qt.IsTrue, qt.Commentf("%d of %d refused in the cut", f.refused, asked))
+	c.Check(f.refused*8 <= asked, qt.IsTrue, qt.Commentf("%d of %d refused in the partition", f.refused, asked))
 	f.run(10*time.Second, chain, flood)
-	c.Check(f.most(window) <= limit(chain), qt.IsTrue, qt.Commentf("%d of %d", f.most(window), limit(chain)))
+	c.Check(f.maxAdmitted(window) <= maxAllowed(chain), qt.IsTrue,
+		qt.Commentf("%d of %d", f.maxAdmitted(window), maxAllowed(chain)))
 }
