--- a/core/admit/history.go
+++ b/core/admit/history.go
@@ -6,35 +6,39 @@
 	"skylarkdeal/core/fleet"
 )
 
-// statementKind names statements whose slot times are taken to be alike.
+// statementKind identifies statements that are assumed to have similar slot
+// times.
 type statementKind struct {
-	account fleet.Account
-	lane    int
-	kind    uint64
+	account  fleet.Account
+	lane     int
+	textHash uint64
 }
 
-// slotTimes learns how long exchanges hold a slot.
+// slotTimes estimates how long exchanges hold a slot, from those that finished.
 type slotTimes struct {
 	kinds   map[statementKind]time.Duration
 	average time.Duration
-	// baseline follows the slot times of a lane's quickest statements: fast
-	// downwards, slowly upwards, so that long ones hardly move it. Lanes differ,
-	// as a slow primary makes all writes slow, and none long beside the others.
+	// baseline follows the slot times of a lane's fastest statements: quickly
+	// downwards and slowly upwards, so that long statements hardly change it.
+	// It is kept by lane, as a slow primary makes all writes slow, and none of
+	// them long relative to the others.
 	baseline [2]time.Duration
 }
 
 const (
-	// initialSlotTime stands for the slot time of a group that has finished nothing.
+	// initialSlotTime is the estimate for a group that has finished nothing.
 	initialSlotTime = time.Millisecond
-	// maxKinds bounds the memory of a history; a fuller one starts anew.
+	// maxKinds bounds the memory of slotTimes; when it is reached all kinds are
+	// dropped.
 	maxKinds = 4096
-	// averageDivisor is the part that a new slot time has in the moving average:
-	// a quarter follows a change within about eight statements.
+	// averageDivisor divides the weight of a new slot time in the moving
+	// average: with a quarter it follows a change within about eight
+	// statements.
 	averageDivisor = 4
-	// baselineRiseDivisor is the same for a slot time above the shortest ones.
+	// baselineRiseDivisor is the same for a slot time above the baseline.
 	baselineRiseDivisor = 256
-	// longFactor is how many times the usual slot time makes an exchange long,
-	// so that a group whose statements are all slow has no long ones.
+	// longFactor is how many times the baseline makes an exchange long, so that
+	// a group whose statements are all slow has no long ones.
 	longFactor = 4
 )
 
@@ -60,7 +64,7 @@
 	return old + (v-old)/averageDivisor
 }
 
-// estimate returns the slot time that i is expected to take.
+// estimate returns the expected slot time of i.
 func (h *slotTimes) estimate(i Item) time.Duration {
 	if d, ok := h.kinds[statementKind{i.Account, laneOf(i.Intent), i.TextHash}]; ok {
 		return d
@@ -72,7 +76,7 @@
 }
 
 // isLong reports whether i is expected to hold its slot for much longer than
-// others. Work of an unknown kind counts as short until it has been seen once.
+// others. Work of an unknown kind counts as short until it has finished once.
 func (h *slotTimes) isLong(i Item, after time.Duration) bool {
 	d, ok := h.kinds[statementKind{i.Account, laneOf(i.Intent), i.TextHash}]
 	return ok && d >= after && d >= longFactor*h.baseline[laneOf(i.Intent)]
--- a/core/admit/next.go
+++ b/core/admit/next.go
@@ -8,13 +8,13 @@
 )
 
 // Next takes the item that is to start now, if any; it counts as running until
-// Finished. fits reports whether a slot and a connection can be had for an item
-// at once; it must not be called to reserve them.
+// Finished. fits reports whether a slot and a connection are available for an
+// item at once. It must not reserve them.
 //
-// Exchanges of open transactions go first: each holds a connection, and ending
-// its transaction is what frees it for the others. Then the account with the
-// lowest tag goes whose first write or first read fits, so that an instance that
-// is slow or full holds up only what must run there.
+// Exchanges of open transactions go first: each holds a connection, and the end
+// of its transaction frees the connection for others. Then the account with the
+// lowest start tag goes whose first write or first read fits, so that a slow or
+// full instance holds up only what must run there.
 func (q *Queue) Next(now time.Time, fits func(Item) bool) (Item, bool) {
 	if i, ok := q.nextPinned(now, fits); ok {
 		return i, true
@@ -45,8 +45,9 @@
 	return Item{}, false
 }
 
-// nextAccount returns the account with the lowest tag and the lane whose first item
-// may start. Of two lanes that may, the one whose item has waited longer goes.
+// nextAccount returns the account with the lowest start tag that has an item
+// which may start, and the lane of that item. Of two lanes, the one whose first
+// item has waited longer goes first.
 func (q *Queue) nextAccount(now time.Time, fits func(Item) bool) (*account, int) {
 	var best *account
 	var lane int
@@ -61,7 +62,8 @@
 	return best, lane
 }
 
-// lessByTag orders accounts by tag, and equal tags by name to stay deterministic.
+// lessByTag orders accounts by start tag, and those with equal tags by name, so
+// that the order is deterministic.
 func lessByTag(a, b *account) bool {
 	if a.startTag != b.startTag {
 		return a.startTag < b.startTag
@@ -95,10 +97,10 @@
 
 // mayStartLong reports whether one more long item leaves a slot for short work.
 //
-// The limit is made for a mix of long and short work: without it two reports
-// take both slots of the primary, and each short order behind them waits for as
-// long as a report runs. One slot less for long work costs it at most its own
-// share of time. With a single slot there is none to leave.
+// Designed for a mix of long and short work: without this limit two reports
+// take both slots of the primary, and each short statement behind them waits
+// for as long as a report runs. One slot less for long work costs it at most
+// its own share of time. With a single slot there is none to leave.
 func (q *Queue) mayStartLong(i exchange.Intent) bool {
 	l := q.limits()
 	if l.Slots > 1 && q.long >= l.Slots-1 {
@@ -128,10 +130,11 @@
 	}
 }
 
-// Finished frees the slot of the item named key, which held it for took; zero
-// tells that it wasn't worked on after all, and nothing is learnt from it. The
-// account's tag is corrected from the expected to the real slot time: an account
-// whose statements turn out long pays for them, not for their number.
+// Finished frees the slot of the item with the given key, which held it for
+// took. Zero means that the item was not run after all, and the slot times are
+// not updated. The account's start tag is corrected from the expected to the
+// actual slot time, so that an account is charged for the time of its
+// statements, not for their number.
 func (q *Queue) Finished(_ time.Time, key uint64, took time.Duration) {
 	s, ok := q.running[key]
 	if !ok {
@@ -151,17 +154,17 @@
 	q.dropIdle(s.account)
 }
 
-// Remove takes a waiting item out, for a caller that is gone or cancels. It
-// reports whether the item was waiting and so has not been run.
+// Remove removes a waiting item whose caller has disconnected or cancels. It
+// reports whether the item was waiting, and so has not been run.
 func (q *Queue) Remove(key uint64) bool {
 	removed := q.remove(func(w waitingItem) bool { return w.Key == key })
 	return len(removed) > 0
 }
 
-// Expire takes out the items that can't be finished in time any more. They are
-// refused as soon as that is known, not at their deadline: the caller gets the
-// time that is left to ask again, and no slot works for an answer that nobody
-// waits for.
+// Expire removes and returns the items that can't be finished in time any more.
+// They are refused as soon as that is known, not at their deadline: the caller
+// can use the time that is left to retry, and no slot is used for an answer
+// that comes too late.
 func (q *Queue) Expire(now time.Time) []Expired {
 	expired := q.remove(func(w waitingItem) bool { return missesDeadline(now, w.required, w.Deadline) })
 	q.refused += len(expired)
@@ -174,12 +177,13 @@
 	return out
 }
 
-// expired reports whether i's deadline has passed, whatever it would take.
+// expired reports whether i's deadline has passed, whatever its slot time.
 func expired(now time.Time, i Item) bool {
 	return missesDeadline(now, 0, i.Deadline)
 }
 
-// remove takes out the waiting items that match.
+// remove removes and returns the waiting items that match, the longest waiting
+// first.
 func (q *Queue) remove(match func(waitingItem) bool) []waitingItem {
 	var removed []waitingItem
 	q.pinned, removed = extract(q.pinned, match, removed)
@@ -201,7 +205,7 @@
 	return removed
 }
 
-// extract moves the items of w that match to gone.
+// extract moves the items of w that match to extracted.
 func extract(w []waitingItem, match func(waitingItem) bool, extracted []waitingItem) (kept, out []waitingItem) {
 	if !slices.ContainsFunc(w, match) {
 		return w, extracted
--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -1,5 +1,6 @@
-// Package admit decides at a holder which exchanges wait, which start next and
-// which are refused. A Queue is owned by one goroutine and reads no clock.
+// Package admit decides, on the host that holds a group's connections, which
+// exchanges wait, which start next and which are refused. A Queue is owned by
+// one goroutine and reads no clock.
 //
 // The order is start-time fair queueing over the client accounts: an account's
 // share of slot time follows its weight, whatever number of exchanges it sends.
@@ -27,12 +28,12 @@
 	LongAfter time.Duration `json:"long-after"`
 }
 
-// The defaults of Limits. They are made for a group of 2-slot instances with
-// statements of about 1 ms: 256 waiting exchanges are a quarter of a second of
-// one account's work, which is about as long as a caller waits gladly, and
-// 2048 leave room for eight accounts at their bound. Beyond that a longer queue
-// only makes answers later. A statement of 50 ms delays one behind it by more
-// than a caller's usual round trips, so it must not take the last slot.
+// The defaults of Limits are for a group of 2-slot instances with statements of
+// about 1 ms. 256 waiting exchanges are a quarter of a second of one account's
+// work, about as long as a caller is willing to wait, and 2048 leave room for
+// eight accounts at their bound. A longer queue would only delay the answers. A
+// statement of 50 ms delays the one behind it by more than a caller's usual
+// round trips, so it must not take the last slot.
 const (
 	DefaultPerAccount = 256
 	DefaultTotal      = 2048
@@ -41,41 +42,43 @@
 	DefaultLongAfter  = 50 * time.Millisecond
 )
 
-// Item is one exchange that asks to be worked on.
+// Item is one exchange that is to be run.
 type Item struct {
 	// Key is unique among the exchanges in the queue.
 	Key     uint64
 	Account fleet.Account
-	// Weight is the account's share against the others', usually its rate.
+	// Weight is the account's share relative to the others', usually its rate.
 	Weight   float64
 	Deadline time.Time
 	Intent   exchange.Intent
-	// TextHash tells statements of one text from others, as a hash; zero is unknown.
+	// TextHash is a hash of the statement's text; zero if unknown.
 	TextHash uint64
 	// Pinned is set for an exchange of an open transaction.
 	Pinned bool
-	// Long is set by the queue when the slot time is expected to be long, for
-	// the function that looks for a slot: it must leave an instance's last one.
+	// Long is set by the queue when the slot time is expected to be long. The
+	// function that looks for a slot must then leave an instance's last one.
 	Long bool
 }
 
-// EnqueueResult is the answer to an offer: a nil Refusal means that the item waits.
+// EnqueueResult is the result of Enqueue: a nil Refusal means that the item
+// waits.
 type EnqueueResult struct {
 	Refusal *failure.Refusal
 }
 
-// Expired is a waiting item that was given up. It has not been run.
+// Expired is an item that was removed from the queue because it can't be
+// finished in time. It has not been run.
 type Expired struct {
 	Item    Item
 	Refusal *failure.Refusal
 }
 
-// waitingItem is an item with the slot time that it is expected to take.
+// waitingItem is an item in the queue, with its expected slot time.
 type waitingItem struct {
 	Item
 	enqueuedAt time.Time
 	expected   time.Duration
-	// required is the part of expect that is held against the deadline.
+	// required is the part of expected that is held against the deadline.
 	required time.Duration
 }
 
@@ -95,8 +98,7 @@
 	lanes [2][]waitingItem
 	// startTag is the virtual time at which the account's next item starts.
 	startTag float64
-	// backlog is the slot time that the waiting items of a lane are expected to
-	// take.
+	// backlog is the expected slot time of the waiting items, by lane.
 	backlog [2]time.Duration
 	running int
 }
@@ -126,30 +128,31 @@
 	pinned    []waitingItem
 	running   map[uint64]runningItem
 	slotTimes slotTimes
-	// virtualTime is the tag of the item started last.
+	// virtualTime is the greatest start tag of the items started so far.
 	virtualTime float64
 	waiting     int
 	backlog     [2]time.Duration
-	// lastStart is when something of a lane last started, or came to an empty lane.
+	// lastStart is when an item of a lane last started, or was added to an
+	// empty lane.
 	lastStart [2]time.Time
-	// runningInLane counts the running items of a lane, occupied adds up their expected
-	// slot times.
+	// runningInLane counts the running items of a lane; runningTime is the sum
+	// of their expected slot times.
 	runningInLane [2]int
 	runningTime   [2]time.Duration
-	// long counts the running long items: all of them, and the writes.
+	// long counts the running long items, longWrites the writes among them.
 	long, longWrites int
 	refused          int
 }
 
-// Enqueue puts i in the queue or refuses it.
+// Enqueue adds i to the queue or refuses it.
 //
-// The bounds are made for an account that floods and for a group that falls
-// behind. They keep the memory and the wait of a queue small; a refused item
-// leaves no trace, so the caller may come back after the hint. An account with
-// nothing waiting is taken beyond the total, so that many floods at once don't
-// lock out the one that keeps within its share. An exchange of an
-// open transaction is always taken: it holds a connection that others wait for,
-// and a caller has only one of them at a time.
+// The bounds guard against an account that floods and a group that falls
+// behind: they keep the memory and the waiting time of a queue small. A refused
+// item leaves no state behind, so the caller may retry after the time in the
+// refusal. An account with nothing waiting is accepted beyond the total, so
+// that many floods at once don't lock out an account that keeps within its
+// share. An exchange of an open transaction is always accepted: it holds a
+// connection that others wait for, and a caller has only one of them at a time.
 func (q *Queue) Enqueue(now time.Time, i Item) EnqueueResult {
 	w := waitingItem{Item: i, enqueuedAt: now, expected: q.slotTimes.estimate(i)}
 	w.required = requiredTime(now, w)
@@ -195,12 +198,13 @@
 	return nil
 }
 
-// missesDeadline reports whether work that takes d from now on ends after the deadline.
+// missesDeadline reports whether work that takes d from now on ends after the
+// deadline.
 func missesDeadline(now time.Time, d time.Duration, deadline time.Time) bool {
 	return !deadline.IsZero() && now.Add(d).After(deadline)
 }
 
-// minRetryAfter keeps a refused caller from coming back at once.
+// minRetryAfter keeps a refused caller from retrying at once.
 const minRetryAfter = 10 * time.Millisecond
 
 func refusal(reason string, after time.Duration) *failure.Refusal {
@@ -230,9 +234,10 @@
 	return a
 }
 
-// dropIdle drops an account that has nothing waiting or running and is owed no
-// share, so that the map doesn't grow with every account ever seen. One whose
-// tag is ahead stays, lest it shed what it has used by going away.
+// dropIdle drops an account that has nothing waiting or running and whose start
+// tag isn't ahead, so that the map doesn't grow with every account ever seen.
+// An account whose tag is ahead stays, so that it is still charged for the slot
+// time that it has used.
 func (q *Queue) dropIdle(a *account) {
 	if a.len() == 0 && a.running == 0 && a.startTag <= q.virtualTime {
 		delete(q.accounts, a.name)
--- a/core/admit/service_test.go
+++ b/core/admit/service_test.go
@@ -13,31 +13,32 @@
 	"skylarkdeal/internal/eventqueue"
 )
 
-// load is what one account's callers send.
+// load is what the callers of one account send.
 type load struct {
 	account fleet.Account
 	weight  float64
-	// perSecond is the mean of a Poisson process; burst comes at once at from.
+	// perSecond is the mean of a Poisson process; burst exchanges come at once
+	// at from.
 	perSecond float64
 	burst     int
 	from      time.Duration
-	// takes is the slot time of a statement at an instance of usual speed.
-	takes  time.Duration
-	intent exchange.Intent
+	// slotTime is the slot time of a statement at an instance of usual speed.
+	slotTime time.Duration
+	intent   exchange.Intent
 }
 
-// got is what the callers of one load got.
-type got struct {
+// outcome is what the callers of one load received.
+type outcome struct {
 	sent, served, refused, late int
 	waits                       []time.Duration
 	// refusedAfter is the longest time from a request to its refusal.
-	refusedAfter time.Duration
-	withoutHint  int
+	refusedAfter      time.Duration
+	withoutRetryAfter int
 }
 
-func (g *got) share() float64 { return float64(g.served) / float64(g.sent) }
+func (g *outcome) servedFraction() float64 { return float64(g.served) / float64(g.sent) }
 
-func (g *got) p99() time.Duration {
+func (g *outcome) p99() time.Duration {
 	if len(g.waits) == 0 {
 		return 0
 	}
@@ -45,10 +46,11 @@
 	return w[len(w)*99/100]
 }
 
-// instance is a database instance with slots; slow multiplies its slot times.
+// instance is a database instance with slots; slowdown multiplies its slot
+// times.
 type instance struct {
 	slots, busy int
-	slow        float64
+	slowdown    float64
 }
 
 // service is a group behind one queue: instance 0 is the primary, which takes
@@ -62,7 +64,7 @@
 	events    eventqueue.Queue
 	seq       uint64
 	waiting   map[uint64]request
-	got       map[fleet.Account]*got
+	outcomes  map[fleet.Account]*outcome
 	busy      time.Duration
 }
 
@@ -77,9 +79,9 @@
 func newService() *service {
 	return &service{
 		random:    rand.New(rand.NewPCG(3, 4)),
-		instances: []instance{{slots: 2, slow: 1}, {slots: 2, slow: 1}, {slots: 2, slow: 1}},
+		instances: []instance{{slots: 2, slowdown: 1}, {slots: 2, slowdown: 1}, {slots: 2, slowdown: 1}},
 		timeout:   300 * time.Millisecond,
-		waiting:   map[uint64]request{}, got: map[fleet.Account]*got{},
+		waiting:   map[uint64]request{}, outcomes: map[fleet.Account]*outcome{},
 	}
 }
 
@@ -89,11 +91,11 @@
 
 func (s *service) clock() time.Time { return epoch.Add(s.now) }
 
-// run plays the loads for d, then lets what is left end.
+// run plays the loads for d, then runs what is left.
 func (s *service) run(d time.Duration, loads ...load) {
 	for i := range loads {
 		l := &loads[i]
-		s.got[l.account] = &got{}
+		s.outcomes[l.account] = &outcome{}
 		for range l.burst {
 			s.after(l.from, func() { s.arrive(l) })
 		}
@@ -124,7 +126,7 @@
 func (s *service) arrive(l *load) {
 	s.seq++
 	key := s.seq
-	g := s.got[l.account]
+	g := s.outcomes[l.account]
 	g.sent++
 	s.waiting[key] = request{l, s.now}
 	v := s.q.Enqueue(s.clock(), admit.Item{
@@ -140,11 +142,11 @@
 func (s *service) refuse(key uint64, f *failure.Refusal) {
 	r := s.waiting[key]
 	delete(s.waiting, key)
-	g := s.got[r.load.account]
+	g := s.outcomes[r.load.account]
 	g.refused++
 	g.refusedAfter = max(g.refusedAfter, s.now-r.at)
 	if f.RetryAfter <= 0 || f.Code != failure.CodeOverloaded {
-		g.withoutHint++
+		g.withoutRetryAfter++
 	}
 }
 
@@ -161,7 +163,7 @@
 	}
 }
 
-// slot returns the instance with a free slot for i; long work leaves one.
+// slot returns the instance with a free slot for i; long work leaves one free.
 func (s *service) slot(i admit.Item) *instance {
 	may := s.instances[:1]
 	if i.Intent == exchange.IntentRead {
@@ -183,9 +185,9 @@
 func (s *service) start(i admit.Item, e *instance) {
 	r := s.waiting[i.Key]
 	delete(s.waiting, i.Key)
-	g := s.got[r.load.account]
+	g := s.outcomes[r.load.account]
 	g.waits = append(g.waits, s.now-r.at)
-	took := time.Duration(float64(r.load.takes) * e.slow * (0.5 + s.random.Float64()))
+	took := time.Duration(float64(r.load.slotTime) * e.slowdown * (0.5 + s.random.Float64()))
 	e.busy++
 	s.busy += took
 	s.after(took, func() {
--- a/core/admit/state.go
+++ b/core/admit/state.go
@@ -8,7 +8,7 @@
 	"skylarkdeal/core/fleet"
 )
 
-// State is what a state dump shows of a queue.
+// State is the part of a state dump that describes a queue.
 type State struct {
 	Limits   Limits         `json:"limits"`
 	Waiting  int            `json:"waiting"`
@@ -20,7 +20,7 @@
 	Accounts []AccountState `json:"accounts"`
 }
 
-// AccountState is one account's part of a queue.
+// AccountState is the state of one account in a queue.
 type AccountState struct {
 	Account fleet.Account `json:"account"`
 	Weight  float64       `json:"weight"`
