--- a/core/ring/ring.go
+++ b/core/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring holds the bounded rings that join the goroutines of a process,
-// and the ring of recent values that a state dump shows.
+// Package ring holds the bounded queues between the goroutines of a process,
+// and the buffer of recent values that a state dump shows.
 package ring
 
 import (
@@ -8,8 +8,8 @@
 )
 
 // Ring is a bounded first-in first-out queue between goroutines. A full ring
-// refuses instead of growing, so that an overload is seen by its sender at once
-// and can't use up the memory of the process.
+// rejects values instead of growing, so that its sender notices an overload at
+// once and the memory of the process isn't used up.
 type Ring[T any] struct {
 	c chan T
 }
@@ -39,7 +39,7 @@
 	}
 }
 
-// TryTake returns the value that waits longest, if one does.
+// TryTake returns the value that has waited longest, if any.
 func (r Ring[T]) TryTake() (v T, ok bool) {
 	select {
 	case v = <-r.c:
@@ -49,7 +49,7 @@
 	}
 }
 
-// Each calls f with each value, one after the other, until ctx ends.
+// Each receives the values in order and calls f with each, until ctx ends.
 func (r Ring[T]) Each(ctx context.Context, f func(v T)) {
 	for ctx.Err() == nil {
 		select {
@@ -60,12 +60,13 @@
 	}
 }
 
-// Out returns the channel from which the one duty that owns the ring receives.
+// Out returns the channel from which the ring's one receiving goroutine takes
+// the values.
 func (r Ring[T]) Out() <-chan T {
 	return r.c
 }
 
-// Len returns how many values wait.
+// Len returns the number of values that wait.
 func (r Ring[T]) Len() int {
 	return len(r.c)
 }
@@ -78,13 +79,15 @@
 
 	mu     sync.Mutex
 	values []T
+	// oldest is the index of the oldest value once Keep values are kept; 0
+	// before.
 	oldest int
 }
 
 // DefaultRecent is how many values a zero Recent keeps.
 const DefaultRecent = 256
 
-// Add puts v in, in place of the oldest value when r is full.
+// Add adds v, replacing the oldest value when r is full.
 func (r *Recent[T]) Add(v T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/core/ring/ring_test.go
+++ b/core/ring/ring_test.go
@@ -19,7 +19,7 @@
 	// Output: [2 3 4]
 }
 
-func TestRingRefusesWhenFull(t *testing.T) {
+func TestRingRejectsWhenFull(t *testing.T) {
 	c := qt.New(t)
 	r := ring.New[int](2)
 	c.Assert(r.TryPut(1), qt.IsTrue)
@@ -30,7 +30,7 @@
 	c.Assert(r.Len(), qt.Equals, 2)
 }
 
-func TestRingGivesWhatWaits(t *testing.T) {
+func TestRingReturnsTheOldestValueFirst(t *testing.T) {
 	c := qt.New(t)
 	r := ring.New[int](2)
 	_, ok := r.TryTake()
@@ -43,7 +43,7 @@
 	c.Assert(r.Len(), qt.Equals, 1)
 }
 
-// A duty takes what waits in order, and nothing more once its context has ended.
+// Each takes the values in order, and takes no more once its context has ended.
 func TestEachEndsWithItsContext(t *testing.T) {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
