--- a/core/reference/bucket.go
+++ b/core/reference/bucket.go
@@ -1,11 +1,12 @@
-// Package reference holds the simplest versions of the decisions, for differential
-// tests: one host, one clock, one bucket for each account.
+// Package reference holds the simplest implementations of what the system does,
+// for differential tests: one host with one clock, one bucket for each account,
+// and one database instance with one lock.
 package reference
 
 import "time"
 
-// Bucket is the single token bucket that the whole fleet must be no more
-// generous than. It starts full.
+// Bucket is the single token bucket that the hosts together must not exceed. It
+// starts full.
 type Bucket struct {
 	// Rate is in tokens a second.
 	Rate  float64
@@ -15,11 +16,11 @@
 	updatedAt time.Time
 }
 
-// tolerance makes up for the rounding of floating-point numbers.
+// tolerance allows for the rounding of floating-point numbers.
 const tolerance = 1e-6
 
-// Admit spends a token at now, or reports that there is none. Calls have to come
-// in the order of time.
+// Admit spends a token at now, or reports that there is none. Calls must be in
+// the order of time.
 func (b *Bucket) Admit(now time.Time) bool {
 	b.refill(now)
 	if b.spent+1 > b.Burst+tolerance {
@@ -42,10 +43,11 @@
 	b.updatedAt = now
 }
 
-// Exceeds returns the index of the first of the admissions, in the order of
-// time, that ends a window w with more than rate·w + burst of them, or -1.
+// Exceeds returns the index of the first admission that ends a window w with
+// more than rate·w + burst admissions, or -1. The admissions are in the order
+// of time.
 //
-// A full bucket that is asked at each admission runs dry exactly when some
+// A full bucket that is asked at each admission is empty exactly when some
 // window that ends there holds too many, so one pass covers every window.
 func Exceeds(admitted []time.Time, rate, burst float64) int {
 	b := Bucket{Rate: rate, Burst: burst}
--- a/core/reference/bucket_test.go
+++ b/core/reference/bucket_test.go
@@ -18,7 +18,7 @@
 	// Output: true true false true
 }
 
-// TestExceedsIsExact compares the one-pass check with a look at every window.
+// TestExceedsIsExact compares the one-pass check with a check of every window.
 func TestExceedsIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := rapid.SliceOfN(rapid.IntRange(0, 2000), 0, 30).Draw(t, "ms")
--- a/core/reference/ledger.go
+++ b/core/reference/ledger.go
@@ -1,5 +1,3 @@
-// Package reference does in the plainest way what the system does: one host, one
-// lock, one database instance. Tests compare the two.
 package reference
 
 import (
@@ -8,7 +6,8 @@
 )
 
 // Database is a database group with one instance: every write is acknowledged
-// once it is there, and every read sees all of them. The zero Database is empty.
+// once it is stored, and every read returns all writes. The zero Database is
+// empty.
 type Database struct {
 	mu     sync.Mutex
 	values []string
