--- a/core/admit/wait.go
+++ b/core/admit/wait.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// requiredTimeDivisor divides the time that is left until a deadline, for the most that
-// an expected slot time counts against it.
+// requiredTimeDivisor bounds the slot time that is held against a deadline, as
+// a divisor of the time that is left.
 const requiredTimeDivisor = 2
 
 // requiredTime returns the slot time that is held against w's deadline: the
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -116,21 +116,21 @@
 // and so on: only a burst that has just been spent leaves no slack in the bound.
 func flood(w *rates.World, a quota.Share) {
 	every := 2 * time.Second / time.Duration(a.Rate)
-	rest := time.Duration(a.Burst/a.Rate*float64(time.Second)) + time.Second
-	var again func()
+	pause := time.Duration(a.Burst/a.Rate*float64(time.Second)) + time.Second
+	var step func()
 	left := 0
-	again = func() {
+	step = func() {
 		if left--; left < 0 {
 			left = int(2 * time.Second / every)
-			w.After(rest, again)
+			w.After(pause, step)
 			return
 		}
 		for _, h := range w.Hosts {
 			h.Arrive(func(bool) {})
 		}
-		w.After(every, again)
+		w.After(every, step)
 	}
-	w.After(rest, again)
+	w.After(pause, step)
 }
 
 // An account's rate is lowered or raised while callers use all of it. Hosts adopt the new document
--- a/core/quota/seat.go
+++ b/core/quota/seat.go
@@ -75,9 +75,9 @@
 // Acquired notes that the store answered with the record r, which has this
 // process as its owner. It reports whether the process had the previous tenure
 // too, so that no other host can have granted in between.
-func (s *Ownership) Acquired(r OwnershipRecord) (kept bool) {
-	kept = s.held && s.record.Tenure+1 >= r.Tenure
-	*s = Ownership{record: r, held: true}
+func (o *Ownership) Acquired(r OwnershipRecord) (kept bool) {
+	kept = o.held && o.record.Tenure+1 >= r.Tenure
+	*o = Ownership{record: r, held: true}
 	return kept
 }
 
@@ -85,57 +85,57 @@
 // lease or another witness. Until Acquired the store may hold either record,
 // and a successor asks only the witness of the one that it reads. So the
 // consent of the old witness no longer counts.
-func (s *Ownership) BeginSwap() {
-	s.record.Witness = Process{}
-	s.consentUntil = time.Time{}
+func (o *Ownership) BeginSwap() {
+	o.record.Witness = Process{}
+	o.consentUntil = time.Time{}
 }
 
 // Lost ends the tenure: the record names another process, or may do so.
-func (s *Ownership) Lost() {
-	*s = Ownership{}
+func (o *Ownership) Lost() {
+	*o = Ownership{}
 }
 
 // LeaseRenewed notes that the named lease stands in the store until the given
 // time of the owner's clock, counted from when the renewal was sent. A lease
 // other than the record's is ignored.
-func (s *Ownership) LeaseRenewed(lease uint64, until time.Time) {
-	if lease == s.record.Lease && until.After(s.leaseUntil) {
-		s.leaseUntil = until
-		s.storelessUntil = until.Add(MaxTenureWithoutStore)
+func (o *Ownership) LeaseRenewed(lease uint64, until time.Time) {
+	if lease == o.record.Lease && until.After(o.leaseUntil) {
+		o.leaseUntil = until
+		o.storelessUntil = until.Add(MaxTenureWithoutStore)
 	}
 }
 
 // Consented notes that the process by consented to a request for the given
 // tenure that was sent at sent. It counts only if both are the record's.
-func (s *Ownership) Consented(sent time.Time, by Process, tenure uint64) {
-	if by == s.record.Witness && tenure == s.record.Tenure {
-		s.consentUntil = sent.Add(ConsentLifetime)
+func (o *Ownership) Consented(sent time.Time, by Process, tenure uint64) {
+	if by == o.record.Witness && tenure == o.record.Tenure {
+		o.consentUntil = sent.Add(ConsentLifetime)
 	}
 }
 
 // CanGrant reports whether the owner may grant at now. It is called before each
 // grant, with a clock that includes any suspension, so that an owner that
 // resumes after a pause grants nothing under an ended lease or consent.
-func (s *Ownership) CanGrant(now time.Time) bool {
-	if !s.held {
+func (o *Ownership) CanGrant(now time.Time) bool {
+	if !o.held {
 		return false
 	}
-	return now.Before(s.leaseUntil) || now.Before(s.consentUntil) && now.Before(s.storelessUntil)
+	return now.Before(o.leaseUntil) || now.Before(o.consentUntil) && now.Before(o.storelessUntil)
 }
 
 // Held reports whether this process considers itself the owner.
-func (s *Ownership) Held() bool {
-	return s.held
+func (o *Ownership) Held() bool {
+	return o.held
 }
 
 // Record returns the record of the tenure; the zero record when it isn't held.
-func (s *Ownership) Record() OwnershipRecord {
-	return s.record
+func (o *Ownership) Record() OwnershipRecord {
+	return o.record
 }
 
 // Until returns the end of the lease, from which on consent is needed.
-func (s *Ownership) Until() time.Time {
-	return s.leaseUntil
+func (o *Ownership) Until() time.Time {
+	return o.leaseUntil
 }
 
 // Witness holds the consents that one process has given. The zero Witness
--- a/core/quota/spender.go
+++ b/core/quota/spender.go
@@ -56,8 +56,8 @@
 
 // Take spends n tokens of the current grant and reports whether it held them.
 func (s *Spender) Take(now time.Time, n Tokens) bool {
-	c := s.current.Load()
-	if c == nil || !c.take(now, n) {
+	held := s.current.Load()
+	if held == nil || !held.take(now, n) {
 		return false
 	}
 	s.taken.Add(int64(n))
@@ -68,10 +68,10 @@
 // that grant the current one. It reports whether there was such a grant.
 func (s *Spender) TakeAny(now time.Time, n Tokens) bool {
 	s.dropEnded(now)
-	for _, c := range s.grants {
-		if c.take(now, n) {
+	for _, held := range s.grants {
+		if held.take(now, n) {
 			s.taken.Add(int64(n))
-			s.current.Store(c)
+			s.current.Store(held)
 			return true
 		}
 	}
@@ -81,20 +81,20 @@
 // dropEnded drops the grants that are spent or have expired, and queues a
 // report of each for its home.
 func (s *Spender) dropEnded(now time.Time) {
-	s.grants = slices.DeleteFunc(s.grants, func(c *heldGrant) bool {
-		if c.left.Load() > 0 && now.Before(c.expiresAt) {
+	s.grants = slices.DeleteFunc(s.grants, func(held *heldGrant) bool {
+		if held.left.Load() > 0 && now.Before(held.expiresAt) {
 			return false
 		}
-		s.closeGrant(c)
+		s.closeGrant(held)
 		return true
 	})
 }
 
-// closeGrant returns what is left of c with the next request to its home. The
-// home ignores the report if it has expired the grant by then.
-func (s *Spender) closeGrant(c *heldGrant) {
-	home := s.home(c.home)
-	home.pendingReports = append(home.pendingReports, Report{Grant: c.id, Left: c.close(), Closed: true})
+// closeGrant returns what is left of held with the next request to its home.
+// The home ignores the report if it has expired the grant by then.
+func (s *Spender) closeGrant(held *heldGrant) {
+	home := s.home(held.home)
+	home.pendingReports = append(home.pendingReports, Report{Grant: held.id, Left: held.close(), Closed: true})
 	if n := len(home.pendingReports); n > maxPendingReports {
 		home.pendingReports = slices.Delete(home.pendingReports, 0, n-maxPendingReports)
 	}
@@ -174,9 +174,9 @@
 func (s *Spender) reportsFor(d fleet.DataCentre) []Report {
 	home := s.home(d)
 	out := slices.Clone(home.pendingReports)
-	for _, c := range s.grants {
-		if c.home == d {
-			out = append(out, Report{Grant: c.id, Left: Tokens(c.left.Load())})
+	for _, held := range s.grants {
+		if held.home == d {
+			out = append(out, Report{Grant: held.id, Left: Tokens(held.left.Load())})
 		}
 	}
 	return out
@@ -198,11 +198,11 @@
 	if g.Tokens <= 0 {
 		return
 	}
-	c := &heldGrant{home: d, id: g.ID, expiresAt: sent.Add(GrantLifetime)}
-	c.left.Store(int64(g.Tokens))
-	s.grants = append(s.grants, c)
+	held := &heldGrant{home: d, id: g.ID, expiresAt: sent.Add(GrantLifetime)}
+	held.left.Store(int64(g.Tokens))
+	s.grants = append(s.grants, held)
 	if current := s.current.Load(); current == nil || current.left.Load() == 0 || !now.Before(current.expiresAt) {
-		s.current.Store(c)
+		s.current.Store(held)
 	}
 }
 
@@ -243,9 +243,9 @@
 // Available returns the number of tokens at hand that haven't expired.
 func (s *Spender) Available(now time.Time) Tokens {
 	var n Tokens
-	for _, c := range s.grants {
-		if now.Before(c.expiresAt) {
-			n += Tokens(c.left.Load())
+	for _, held := range s.grants {
+		if now.Before(held.expiresAt) {
+			n += Tokens(held.left.Load())
 		}
 	}
 	return n
@@ -254,8 +254,8 @@
 // ReturnAll ends all grants and returns, for each home, the request that gives
 // the unspent tokens back, so that the remaining hosts can use them at once.
 func (s *Spender) ReturnAll() []HomeRequest {
-	for _, c := range s.grants {
-		s.closeGrant(c)
+	for _, held := range s.grants {
+		s.closeGrant(held)
 	}
 	s.grants = nil
 	var out []HomeRequest
--- a/core/quota/stock.go
+++ b/core/quota/stock.go
@@ -21,19 +21,19 @@
 // It only ever subtracts tokens that are there. If it subtracted first and
 // added the excess back, a close in between would count those tokens as
 // unspent, and adding them back would create them anew.
-func (s *heldGrant) take(now time.Time, n Tokens) bool {
+func (g *heldGrant) take(now time.Time, n Tokens) bool {
 	for {
-		left := s.left.Load()
-		if left < int64(n) || !now.Before(s.expiresAt) {
+		left := g.left.Load()
+		if left < int64(n) || !now.Before(g.expiresAt) {
 			return false
 		}
-		if s.left.CompareAndSwap(left, left-int64(n)) {
+		if g.left.CompareAndSwap(left, left-int64(n)) {
 			return true
 		}
 	}
 }
 
 // close ends the grant at its spender and returns the unspent tokens.
-func (s *heldGrant) close() Tokens {
-	return Tokens(s.left.Swap(0))
+func (g *heldGrant) close() Tokens {
+	return Tokens(g.left.Swap(0))
 }
--- a/core/ratelimit/hosts.go
+++ b/core/ratelimit/hosts.go
@@ -78,13 +78,13 @@
 }
 
 // unreported estimates what the other hosts have admitted since their last reports, from the
-// fraction that this host admits. Without it, in a sudden flood, each host admits all that every
-// host believes to be left.
+// fraction that this host admits. Without it, each host would admit all that is left of its
+// estimate in a sudden flood.
 func (f *Limiter) unreported(now time.Time, a *account, n fleet.Account) float64 {
 	sum := 0.0
 	for name, h := range f.hosts {
-		if silent := now.Sub(h.lastReport); f.peers.Has(name) && silent <= f.maxReportAge() {
-			sum += min(h.demand(n)*a.admittedFraction, a.rate) * silent.Seconds()
+		if sinceReport := now.Sub(h.lastReport); f.peers.Has(name) && sinceReport <= f.maxReportAge() {
+			sum += min(h.demand(n)*a.admittedFraction, a.rate) * sinceReport.Seconds()
 		}
 	}
 	return sum
