--- a/core/quota/home.go
+++ b/core/quota/home.go
@@ -9,24 +9,27 @@
 	"skylarkdeal/core/fleet"
 )
 
-// GrantID names a grant of one home; it is unique for one tenure of a home.
+// GrantID identifies a grant of one home; it is unique within one tenure of the
+// home.
 type GrantID uint64
 
-// Report tells a home what has become of one of its grants.
+// Report tells a home how much of one of its grants is left.
 type Report struct {
 	Grant GrantID
-	// Left is how much of the grant is not spent.
+	// Left is the number of tokens that aren't spent.
 	Left Tokens
-	// Closed gives the rest back: the spender will never spend it.
+	// Closed returns the tokens that are left: the spender will never spend
+	// them.
 	Closed bool
 }
 
 // Ask is a spender's request for tokens.
 type Ask struct {
 	Spender fleet.Host
-	// Urgent is what exchanges wait for now.
+	// Urgent is the number of tokens that exchanges wait for now.
 	Urgent Tokens
-	// Ahead is what is likely to be wanted within half a GrantLifetime.
+	// Ahead is the number of tokens that are likely to be needed within half a
+	// GrantLifetime.
 	Ahead   Tokens
 	Reports []Report
 }
@@ -35,49 +38,50 @@
 type Grant struct {
 	ID     GrantID
 	Tokens Tokens
-	// RetryAfter is when one token more may be had, if fewer were granted than
-	// are urgent.
+	// RetryAfter is when one more token may be granted, if fewer were granted
+	// than are urgent.
 	RetryAfter time.Duration
 }
 
-// outstanding is a grant that may still be spent.
-type outstanding struct {
-	id    GrantID
-	to    fleet.Host
-	left  Tokens
-	until time.Time
+// outstandingGrant is a grant that may still be spent.
+type outstandingGrant struct {
+	id        GrantID
+	spender   fleet.Host
+	left      Tokens
+	expiresAt time.Time
 }
 
 // Home grants one data centre's share of one account's rate. The zero Home
 // grants nothing until Start. It is not safe for concurrent use.
 //
-// It is a token bucket with one rule more: the level and the grants that may
-// still be spent never exceed the burst together. All that can be spent in a
-// window [s, e] is outstanding at s, in the bucket at s, or grows until e, hence
-// at most burst + rate·(e-s): the bound holds for every window, although grants
-// are spent later than they are made.
+// It is a token bucket with one additional rule: the level and the grants that
+// may still be spent never exceed the burst together. All that can be spent in
+// a window [s, e] is outstanding at s, in the bucket at s, or added until e,
+// hence at most burst + rate·(e-s): the bound holds for every window, although
+// grants are spent later than they are made.
 type Home struct {
 	version document.Version
 	share   Share
 	level   float64
-	// from is the time up to which the level has grown.
-	from    time.Time
-	out     []outstanding
-	lastID  GrantID
-	started bool
-	// later is the share that takes the place of share at listed.
-	later  Share
-	listed time.Time
-}
-
-// Start begins a tenure at now with the given share. The bucket begins to grow
-// only when the grants of any predecessor have expired, and starts with level:
-// none, unless more is known, as a host that restarts or takes over knows nothing
-// of what was spent before; what a predecessor had left when it gave the seat up;
-// or the whole burst where nobody can have granted before. The caller has made
-// sure that no predecessor grants any more (see Ownership), and uses a level once.
+	// refilledAt is the time up to which the level has been refilled.
+	refilledAt  time.Time
+	outstanding []outstandingGrant
+	lastID      GrantID
+	started     bool
+	// nextShare is the share that replaces share at nextShareAt.
+	nextShare   Share
+	nextShareAt time.Time
+}
+
+// Start begins a tenure at now with the share s. The bucket is refilled only
+// from the time at which the grants of any predecessor have expired, and starts
+// with level tokens. The level is 0 unless more is known, as a host that
+// restarts or takes over doesn't know what was spent before. It is what a
+// predecessor had left when it gave the ownership up, or the whole burst where
+// no host can have granted before. The caller has made sure that no predecessor
+// grants any more (see Ownership), and uses a level once.
 func (h *Home) Start(now time.Time, v document.Version, s Share, id GrantID, level float64) {
-	*h = Home{version: v, share: s, later: s, from: now.Add(GrantCountedFor), lastID: id, started: true}
+	*h = Home{version: v, share: s, nextShare: s, refilledAt: now.Add(GrantCountedFor), lastID: id, started: true}
 	h.level = max(0, min(level, s.Burst))
 }
 
@@ -86,82 +90,85 @@
 	return h.started
 }
 
-// ShareIncreaseDelay is how long a share that has grown because the list of data centres
-// has changed isn't used yet: a document takes some seconds to all hosts that can
-// be reached, and until then another data centre may go by its old, larger share.
+// ShareIncreaseDelay is how long a share that has grown because the list of
+// data centres has changed isn't used yet. A document takes some seconds to
+// reach all hosts that can be reached, and until then another data centre may
+// go by its old, larger share.
 const ShareIncreaseDelay = 30 * time.Second
 
 // SetShare puts the share of a newer version of the document in effect. A lower
-// burst takes effect at once on what is not granted yet; a higher one has to
-// grow. An older version changes nothing. If the list of data centres is not the
-// same, what the share gains waits for ShareIncreaseDelay.
+// burst takes effect at once on what is not granted yet; the tokens of a higher
+// one accrue over time. An older version changes nothing. If the list of data
+// centres has changed, an increase of the share takes effect after
+// ShareIncreaseDelay.
 func (h *Home) SetShare(now time.Time, v document.Version, s Share, sameList bool) {
 	if v <= h.version {
 		return
 	}
-	h.grow(now)
-	h.version, h.later = v, s
+	h.refill(now)
+	h.version, h.nextShare = v, s
 	if !sameList {
-		h.listed = now.Add(ShareIncreaseDelay)
+		h.nextShareAt = now.Add(ShareIncreaseDelay)
 	}
-	h.settle(now)
-	h.trim()
+	h.applyNextShare(now)
+	h.capLevel()
 }
 
-// settle puts the later share in effect, or of it what isn't more than before.
-func (h *Home) settle(now time.Time) {
-	if now.Before(h.listed) {
-		h.share = Share{Rate: min(h.share.Rate, h.later.Rate), Burst: min(h.share.Burst, h.later.Burst)}
+// applyNextShare puts nextShare in effect; before nextShareAt, only what of it
+// is no more than the present share.
+func (h *Home) applyNextShare(now time.Time) {
+	if now.Before(h.nextShareAt) {
+		h.share = Share{Rate: min(h.share.Rate, h.nextShare.Rate), Burst: min(h.share.Burst, h.nextShare.Burst)}
 		return
 	}
-	h.share = h.later
+	h.share = h.nextShare
 }
 
-// grow adds what has accrued since the last call. A clock that steps back adds
-// nothing. What can't be kept is lost, as in any bucket that is full.
-func (h *Home) grow(now time.Time) {
-	h.expire(now)
-	if d := now.Sub(h.from); d > 0 {
+// refill adds what has accrued since the last call. A clock that steps back
+// adds nothing. Tokens that exceed the burst are lost, as in any full bucket.
+func (h *Home) refill(now time.Time) {
+	h.dropExpired(now)
+	if d := now.Sub(h.refilledAt); d > 0 {
 		h.level += h.share.Rate * d.Seconds()
-		h.from = now
+		h.refilledAt = now
 	}
-	h.settle(now)
-	h.trim()
+	h.applyNextShare(now)
+	h.capLevel()
 }
 
-// trim keeps level + outstanding within the burst.
-func (h *Home) trim() {
-	h.level = max(0, min(h.level, h.share.Burst-float64(h.outstanding())))
+// capLevel keeps level + outstanding within the burst.
+func (h *Home) capLevel() {
+	h.level = max(0, min(h.level, h.share.Burst-float64(h.outstandingTokens())))
 }
 
-func (h *Home) expire(now time.Time) {
-	h.out = slices.DeleteFunc(h.out, func(o outstanding) bool { return now.After(o.until) })
+func (h *Home) dropExpired(now time.Time) {
+	h.outstanding = slices.DeleteFunc(h.outstanding, func(o outstandingGrant) bool { return now.After(o.expiresAt) })
 }
 
-// outstanding returns the tokens that may still be spent.
-func (h *Home) outstanding() Tokens {
+// outstandingTokens returns the tokens that may still be spent.
+func (h *Home) outstandingTokens() Tokens {
 	var n Tokens
-	for _, o := range h.out {
+	for _, o := range h.outstanding {
 		n += o.left
 	}
 	return n
 }
 
-// Ask answers a spender. Urgent wants are met first come, first served, as a
-// single bucket would; wants ahead only from half of what is left, so that one
-// host's stock doesn't make another one refuse.
+// Ask answers a spender. Urgent tokens are granted first come, first served, as
+// by a single bucket; tokens ahead of need only from half of what is left, so
+// that the prefetching of one host doesn't make another one refuse.
 func (h *Home) Ask(now time.Time, a Ask) Grant {
 	if !h.started {
 		return Grant{RetryAfter: GrantLifetime}
 	}
-	h.grow(now)
-	h.report(a.Reports)
-	have := Tokens(math.Floor(h.level))
-	n := min(max(a.Urgent, 0), have)
-	n += min(max(a.Ahead, 0), (have-n)/2)
+	h.refill(now)
+	h.applyReports(a.Reports)
+	available := Tokens(math.Floor(h.level))
+	n := min(max(a.Urgent, 0), available)
+	n += min(max(a.Ahead, 0), (available-n)/2)
 	g := Grant{Tokens: n}
 	if n < a.Urgent {
-		g.RetryAfter = h.next(now, n)
+		g.RetryAfter = h.retryAfter(now, n)
 	}
 	if n == 0 {
 		return g
@@ -169,44 +176,47 @@
 	h.lastID++
 	g.ID = h.lastID
 	h.level -= float64(n)
-	h.out = append(h.out, outstanding{id: g.ID, to: a.Spender, left: n, until: now.Add(GrantCountedFor)})
+	h.outstanding = append(h.outstanding, outstandingGrant{
+		id: g.ID, spender: a.Spender, left: n, expiresAt: now.Add(GrantCountedFor),
+	})
 	return g
 }
 
-// next returns how long it takes until one token more than n is there. A full
-// bucket of outstanding grants grows only when one of them ends.
-func (h *Home) next(now time.Time, n Tokens) time.Duration {
+// retryAfter returns how long it takes until one token more than n is there. A
+// bucket whose burst is wholly outstanding is refilled only when one of its
+// grants ends.
+func (h *Home) retryAfter(now time.Time, n Tokens) time.Duration {
 	if h.share.Rate <= 0 {
 		return time.Second
 	}
 	missing := float64(n) + 1 - h.level
 	d := time.Duration(missing / h.share.Rate * float64(time.Second))
-	if start := h.from.Sub(now); start > 0 {
+	if start := h.refilledAt.Sub(now); start > 0 {
 		d += start
 	}
 	return max(d, time.Millisecond)
 }
 
-// report takes in what spenders say of their grants. A report can come twice or
-// late, after a newer one: what is left only falls, and a grant closed once is
-// gone, so none is counted back twice.
-func (h *Home) report(reports []Report) {
+// applyReports handles the reports of spenders on their grants. A report can
+// come twice, or after a newer one. What is left only falls, and a closed grant
+// is removed, so no token is returned twice.
+func (h *Home) applyReports(reports []Report) {
 	for _, r := range reports {
-		i := slices.IndexFunc(h.out, func(o outstanding) bool { return o.id == r.Grant })
+		i := slices.IndexFunc(h.outstanding, func(o outstandingGrant) bool { return o.id == r.Grant })
 		if i < 0 {
 			continue
 		}
-		o := &h.out[i]
+		o := &h.outstanding[i]
 		o.left = min(o.left, max(r.Left, 0))
 		if r.Closed {
 			h.level += float64(o.left)
-			h.out = slices.Delete(h.out, i, i+1)
+			h.outstanding = slices.Delete(h.outstanding, i, i+1)
 		}
 	}
-	h.trim()
+	h.capLevel()
 }
 
-// HomeState is what a state dump shows of a home.
+// HomeState is the part of a state dump that describes a home.
 type HomeState struct {
 	Version     document.Version `json:"version"`
 	Share       Share            `json:"share"`
@@ -217,5 +227,5 @@
 
 // State returns the home's state at its last change.
 func (h *Home) State() HomeState {
-	return HomeState{h.version, h.share, h.level, h.outstanding(), h.lastID}
+	return HomeState{h.version, h.share, h.level, h.outstandingTokens(), h.lastID}
 }
--- a/core/quota/spender.go
+++ b/core/quota/spender.go
@@ -9,155 +9,159 @@
 	"skylarkdeal/core/fleet"
 )
 
-// source is what a spender knows of one data centre's home.
-type source struct {
-	// asked is when the request in flight was sent; zero when none is.
-	asked time.Time
-	// not is the time before which the home has nothing to give.
-	not     time.Time
-	reports []Report
+// homeStatus is what a spender knows of one data centre's home.
+type homeStatus struct {
+	// requestSentAt is when the pending request was sent; zero when none is.
+	requestSentAt time.Time
+	// notBefore is the time before which the home isn't asked again: it had too
+	// little, or didn't answer.
+	notBefore      time.Time
+	pendingReports []Report
 }
 
-// Spender holds the tokens of one account on one host. Take may be called by any
-// goroutine; all else belongs to one.
+// Spender holds the tokens of one account on one host. Take may be called by
+// any goroutine; all other methods belong to one.
 type Spender struct {
 	Host fleet.Host
 	// Own is the host's data centre, whose home is asked first.
 	Own fleet.DataCentre
 
-	// current is the stock that Take spends.
-	current atomic.Pointer[stock]
-	stocks  []*stock
-	sources map[fleet.DataCentre]*source
+	// current is the grant that Take spends.
+	current atomic.Pointer[heldGrant]
+	grants  []*heldGrant
+	homes   map[fleet.DataCentre]*homeStatus
 	demand  demand
 	taken   atomic.Int64
-	// stocked is when stock was last asked for with nothing waiting.
-	stocked time.Time
+	// prefetchedAt is when tokens were last requested with no exchange waiting.
+	prefetchedAt time.Time
 }
 
-// HomeRequest is an Ask with the data centre whose home is to be asked.
+// HomeRequest is an Ask and the data centre whose home is to be asked.
 type HomeRequest struct {
 	DataCentre fleet.DataCentre
 	Ask        Ask
 }
 
-// stockEvery is the least time between two asks for stock alone.
-const stockEvery = GrantLifetime / 4
+// prefetchInterval is the least time between two requests that only prefetch.
+const prefetchInterval = GrantLifetime / 4
 
-// hedgeAfter is how long an answer is waited for before another home is asked as
-// well: some round trips between data centres. A home that has just died then
-// costs an exchange that much, and not its patience.
+// hedgeAfter is how long the answer of a home is awaited before another home is
+// asked as well: some round trips between data centres. A home that has just
+// failed then delays an exchange by that much, and not up to its timeout.
 const hedgeAfter = 15 * time.Millisecond
 
-// AskTimeout is how long an answer of a home is waited for before another ask.
+// AskTimeout is how long the answer of a home is awaited before it may be asked
+// again.
 const AskTimeout = 100 * time.Millisecond
 
-// Take spends n tokens and reports whether they were at hand.
+// Take spends n tokens of the current grant and reports whether it held them.
 func (s *Spender) Take(now time.Time, n Tokens) bool {
-	c := s.current.Load()
-	if c == nil || !c.take(now, n) {
+	held := s.current.Load()
+	if held == nil || !held.take(now, n) {
 		return false
 	}
 	s.taken.Add(int64(n))
 	return true
 }
 
-// TakeAny is Take from any of the stocks; it also makes the oldest one with
-// something left the current one.
+// TakeAny spends n tokens of the oldest grant that holds as many, and makes
+// that grant the current one. It reports whether there was such a grant.
 func (s *Spender) TakeAny(now time.Time, n Tokens) bool {
-	s.tidy(now)
-	for _, c := range s.stocks {
-		if c.take(now, n) {
+	s.dropEnded(now)
+	for _, held := range s.grants {
+		if held.take(now, n) {
 			s.taken.Add(int64(n))
-			s.current.Store(c)
+			s.current.Store(held)
 			return true
 		}
 	}
 	return false
 }
 
-// tidy drops the stocks that are spent or have expired, and notes the report of
-// each for its home.
-func (s *Spender) tidy(now time.Time) {
-	s.stocks = slices.DeleteFunc(s.stocks, func(c *stock) bool {
-		if c.left.Load() > 0 && now.Before(c.until) {
+// dropEnded drops the grants that are spent or have expired, and queues a
+// report of each for its home.
+func (s *Spender) dropEnded(now time.Time) {
+	s.grants = slices.DeleteFunc(s.grants, func(held *heldGrant) bool {
+		if held.left.Load() > 0 && now.Before(held.expiresAt) {
 			return false
 		}
-		s.settle(c)
+		s.closeGrant(held)
 		return true
 	})
 }
 
-// settle gives back what is left of c with the next ask of its home. What the
-// home has counted as expired by then it ignores.
-func (s *Spender) settle(c *stock) {
-	o := s.source(c.from)
-	o.reports = append(o.reports, Report{Grant: c.id, Left: c.close(), Closed: true})
-	if n := len(o.reports); n > maxReports {
-		o.reports = slices.Delete(o.reports, 0, n-maxReports)
+// closeGrant returns what is left of held with the next request to its home.
+// The home ignores the report if it has expired the grant by then.
+func (s *Spender) closeGrant(held *heldGrant) {
+	home := s.home(held.home)
+	home.pendingReports = append(home.pendingReports, Report{Grant: held.id, Left: held.close(), Closed: true})
+	if n := len(home.pendingReports); n > maxPendingReports {
+		home.pendingReports = slices.Delete(home.pendingReports, 0, n-maxPendingReports)
 	}
 }
 
-// maxReports bounds the reports kept for a home that can't be reached; those
-// lost would have been of grants that expire there anyway.
-const maxReports = 32
+// maxPendingReports bounds the reports kept for a home that can't be reached.
+// The reports that are dropped are of grants that expire at the home anyway.
+const maxPendingReports = 32
 
-func (s *Spender) source(d fleet.DataCentre) *source {
-	if s.sources == nil {
-		s.sources = map[fleet.DataCentre]*source{}
+func (s *Spender) home(d fleet.DataCentre) *homeStatus {
+	if s.homes == nil {
+		s.homes = map[fleet.DataCentre]*homeStatus{}
 	}
-	o := s.sources[d]
-	if o == nil {
-		o = &source{}
-		s.sources[d] = o
+	status := s.homes[d]
+	if status == nil {
+		status = &homeStatus{}
+		s.homes[d] = status
 	}
-	return o
+	return status
 }
 
-// Next returns the ask to send now, if any, when waiting tokens are wanted by
-// exchanges that wait.
+// Next returns the request to send now, if any; waiting is the number of tokens
+// that exchanges wait for.
 //
-// The home of the own data centre comes first, being nearest; another is asked
-// only when those before have said that they have nothing, one at a time, so
-// that a small want doesn't empty several buckets. Stock is laid in for half a
-// GrantLifetime of recent demand, from the own data centre only: a busy account costs
-// a host twenty messages a second at any rate, an idle one none.
+// The home of the own data centre comes first, being nearest. Another is asked
+// only when those before it have nothing or haven't answered within hedgeAfter,
+// one at a time, so that a small demand doesn't empty several buckets. Tokens
+// are prefetched for half a GrantLifetime of recent demand, from the own data
+// centre only: a busy account costs a host twenty messages a second at any
+// rate, an idle one none.
 func (s *Spender) Next(now time.Time, waiting Tokens, all []fleet.DataCentre) (HomeRequest, bool) {
-	s.tidy(now)
+	s.dropEnded(now)
 	s.demand.update(now, s.taken.Load())
-	have := s.Left(now)
-	stockUp := Tokens(math.Ceil(s.demand.perSecond * (GrantLifetime / 2).Seconds()))
-	order := s.order(all)
-	if waiting <= have {
-		if have >= (stockUp+1)/2 || s.demand.idle(now) || now.Sub(s.stocked) < stockEvery {
+	available := s.Available(now)
+	prefetch := Tokens(math.Ceil(s.demand.perSecond * (GrantLifetime / 2).Seconds()))
+	homes := s.homesInOrder(all)
+	if waiting <= available {
+		if available >= (prefetch+1)/2 || s.demand.idle(now) || now.Sub(s.prefetchedAt) < prefetchInterval {
 			return HomeRequest{}, false
 		}
-		s.stocked = now
-		order = order[:min(1, len(order))]
+		s.prefetchedAt = now
+		homes = homes[:min(1, len(homes))]
 	}
-	for _, d := range order {
-		o := s.source(d)
-		if flight := now.Sub(o.asked); !o.asked.IsZero() && flight < AskTimeout {
-			if flight < hedgeAfter {
+	for _, d := range homes {
+		home := s.home(d)
+		if sinceRequest := now.Sub(home.requestSentAt); !home.requestSentAt.IsZero() && sinceRequest < AskTimeout {
+			if sinceRequest < hedgeAfter {
 				return HomeRequest{}, false
 			}
 			continue
 		}
-		if now.Before(o.not) {
+		if now.Before(home.notBefore) {
 			continue
 		}
-		o.asked = now
+		home.requestSentAt = now
 		a := Ask{
-			Spender: s.Host, Urgent: max(0, waiting-have),
-			Ahead: max(0, stockUp-have), Reports: s.reports(d),
+			Spender: s.Host, Urgent: max(0, waiting-available),
+			Ahead: max(0, prefetch-available), Reports: s.reportsFor(d),
 		}
 		return HomeRequest{DataCentre: d, Ask: a}, true
 	}
 	return HomeRequest{}, false
 }
 
-// order returns the data centres in the order in which they are asked.
-func (s *Spender) order(all []fleet.DataCentre) []fleet.DataCentre {
+// homesInOrder returns the data centres in the order in which their homes are
+// asked, the own one first.
+func (s *Spender) homesInOrder(all []fleet.DataCentre) []fleet.DataCentre {
 	i := slices.Index(all, s.Own)
 	if i <= 0 {
 		return all
@@ -165,119 +169,122 @@
 	return append(slices.Clone(all[i:]), all[:i]...)
 }
 
-// reports returns what the home of d is to be told: the grants that have ended
-// since, and what is left of the others.
-func (s *Spender) reports(d fleet.DataCentre) []Report {
-	o := s.source(d)
-	out := slices.Clone(o.reports)
-	for _, c := range s.stocks {
-		if c.from == d {
-			out = append(out, Report{Grant: c.id, Left: Tokens(c.left.Load())})
+// reportsFor returns the reports for the home of d: on the grants that have
+// ended since, and on what is left of the others.
+func (s *Spender) reportsFor(d fleet.DataCentre) []Report {
+	home := s.home(d)
+	out := slices.Clone(home.pendingReports)
+	for _, held := range s.grants {
+		if held.home == d {
+			out = append(out, Report{Grant: held.id, Left: Tokens(held.left.Load())})
 		}
 	}
 	return out
 }
 
-// Granted takes in the answer of d's home to an ask that was sent at sent. The
-// grant's life counts from then, which was before the home made it.
+// Granted handles the answer of d's home to the request a that was sent at
+// sent. The grant's lifetime counts from then, which was before the home made
+// it.
 func (s *Spender) Granted(now, sent time.Time, d fleet.DataCentre, a Ask, g Grant) {
-	o := s.source(d)
-	o.asked = time.Time{}
-	told := len(a.Reports)
-	o.reports = slices.DeleteFunc(o.reports, func(r Report) bool {
-		return slices.Contains(a.Reports[:told], r)
+	home := s.home(d)
+	home.requestSentAt = time.Time{}
+	reported := len(a.Reports)
+	home.pendingReports = slices.DeleteFunc(home.pendingReports, func(r Report) bool {
+		return slices.Contains(a.Reports[:reported], r)
 	})
 	if g.Tokens < a.Urgent || g.Tokens == 0 {
-		o.not = now.Add(max(g.RetryAfter, minPause))
+		home.notBefore = now.Add(max(g.RetryAfter, minRetryInterval))
 	}
 	if g.Tokens <= 0 {
 		return
 	}
-	c := &stock{from: d, id: g.ID, until: sent.Add(GrantLifetime)}
-	c.left.Store(int64(g.Tokens))
-	s.stocks = append(s.stocks, c)
-	if cur := s.current.Load(); cur == nil || cur.left.Load() == 0 || !now.Before(cur.until) {
-		s.current.Store(c)
+	held := &heldGrant{home: d, id: g.ID, expiresAt: sent.Add(GrantLifetime)}
+	held.left.Store(int64(g.Tokens))
+	s.grants = append(s.grants, held)
+	if current := s.current.Load(); current == nil || current.left.Load() == 0 || !now.Before(current.expiresAt) {
+		s.current.Store(held)
 	}
 }
 
-// minPause is how long a spender waits before it asks a home again that had too
-// little: for an account far above its rate, whose every token is waited for at
-// every host, asks would otherwise come as often as tokens. It is a sixth of the
-// time that an exchange waits, so that it refuses nobody.
-const minPause = 40 * time.Millisecond
+// minRetryInterval is the least time until a spender asks a home again that had
+// too little. For an account far above its rate every host waits for every
+// token, and would otherwise send as many requests as there are tokens. It is a
+// sixth of the time that an exchange waits, so that it causes no refusal.
+const minRetryInterval = 40 * time.Millisecond
 
-// Failed notes that d's home didn't answer: it isn't asked for a while, so that
-// a cut costs each exchange at most one wait.
+// Failed notes that d's home didn't answer. It isn't asked for
+// failedRetryInterval, so that a partition delays each exchange by at most one
+// such wait.
 func (s *Spender) Failed(now time.Time, d fleet.DataCentre) {
-	o := s.source(d)
-	o.asked = time.Time{}
-	o.not = now.Add(failedPause)
+	home := s.home(d)
+	home.requestSentAt = time.Time{}
+	home.notBefore = now.Add(failedRetryInterval)
 }
 
-// failedPause is how long a home that failed is not asked.
-const failedPause = 100 * time.Millisecond
+// failedRetryInterval is how long a home that failed is not asked.
+const failedRetryInterval = 100 * time.Millisecond
 
-// Earliest returns when a home may have tokens again: now when an answer is
-// awaited or a home can be asked.
-func (s *Spender) Earliest(now time.Time, all []fleet.DataCentre) time.Time {
+// EarliestTokens returns when a home may have tokens again: now when an answer
+// is pending or a home can be asked.
+func (s *Spender) EarliestTokens(now time.Time, all []fleet.DataCentre) time.Time {
 	var at time.Time
 	for _, d := range all {
-		o := s.source(d)
-		if !o.asked.IsZero() || !now.Before(o.not) {
+		home := s.home(d)
+		if !home.requestSentAt.IsZero() || !now.Before(home.notBefore) {
 			return now
 		}
-		if at.IsZero() || o.not.Before(at) {
-			at = o.not
+		if at.IsZero() || home.notBefore.Before(at) {
+			at = home.notBefore
 		}
 	}
 	return at
 }
 
-// Left returns the tokens at hand.
-func (s *Spender) Left(now time.Time) Tokens {
+// Available returns the number of tokens at hand that haven't expired.
+func (s *Spender) Available(now time.Time) Tokens {
 	var n Tokens
-	for _, c := range s.stocks {
-		if now.Before(c.until) {
-			n += Tokens(c.left.Load())
+	for _, held := range s.grants {
+		if now.Before(held.expiresAt) {
+			n += Tokens(held.left.Load())
 		}
 	}
 	return n
 }
 
-// ReturnAll ends all stocks and returns, for each home, the ask that gives the
-// unspent tokens back, so that the hosts that stay can use them at once.
+// ReturnAll ends all grants and returns, for each home, the request that gives
+// the unspent tokens back, so that the remaining hosts can use them at once.
 func (s *Spender) ReturnAll() []HomeRequest {
-	for _, c := range s.stocks {
-		s.settle(c)
+	for _, held := range s.grants {
+		s.closeGrant(held)
 	}
-	s.stocks = nil
+	s.grants = nil
 	var out []HomeRequest
-	for d, o := range s.sources {
-		if len(o.reports) > 0 {
-			out = append(out, HomeRequest{DataCentre: d, Ask: Ask{Spender: s.Host, Reports: o.reports}})
-			o.reports = nil
+	for d, o := range s.homes {
+		if len(o.pendingReports) > 0 {
+			out = append(out, HomeRequest{DataCentre: d, Ask: Ask{Spender: s.Host, Reports: o.pendingReports}})
+			o.pendingReports = nil
 		}
 	}
 	return out
 }
 
-// Idle reports whether nothing was taken for d.
+// Idle reports whether no tokens have been taken for longer than d.
 func (s *Spender) Idle(now time.Time, d time.Duration) bool {
-	return now.Sub(s.demand.last) > d
+	return now.Sub(s.demand.lastTakenAt) > d
 }
 
-// Soonest returns the least time until n tokens may be at hand, if no other host
-// wanted any: whole is the account's whole rate and burst. An exchange that has
-// so many before it and itself to wait for can't be let through any earlier.
+// Soonest returns the least time until n tokens may be at hand, if no other
+// host wanted any: whole is the account's whole rate and burst. An exchange
+// can't be admitted any earlier if it and those that wait before it need n
+// tokens.
 func (s *Spender) Soonest(now time.Time, whole Share, n Tokens, all []fleet.DataCentre) time.Duration {
 	if whole.Rate <= 0 {
 		return time.Second
 	}
-	wait := max(0, s.Earliest(now, all).Sub(now))
-	more := float64(n - s.Left(now) - 1)
+	wait := max(0, s.EarliestTokens(now, all).Sub(now))
+	missing := float64(n - s.Available(now) - 1)
 	if wait == 0 {
-		more = float64(n-s.Left(now)) - whole.Burst
+		missing = float64(n-s.Available(now)) - whole.Burst
 	}
-	return wait + time.Duration(max(0, more)/whole.Rate*float64(time.Second))
+	return wait + time.Duration(max(0, missing)/whole.Rate*float64(time.Second))
 }
--- a/core/quota/stock.go
+++ b/core/quota/stock.go
@@ -7,33 +7,33 @@
 	"skylarkdeal/core/fleet"
 )
 
-// stock is what is left of one grant at its spender. It is safe for concurrent
-// use, so that exchanges are admitted without a lock.
-type stock struct {
-	from  fleet.DataCentre
-	id    GrantID
-	until time.Time
-	left  atomic.Int64
+// heldGrant is what is left of one grant at its spender. It is safe for
+// concurrent use, so that exchanges are admitted without a lock.
+type heldGrant struct {
+	home      fleet.DataCentre
+	id        GrantID
+	expiresAt time.Time
+	left      atomic.Int64
 }
 
-// take spends n whole tokens and reports whether they were there.
+// take spends n whole tokens and reports whether the grant held them.
 //
-// It only ever subtracts what is there: had it subtracted first and put back
-// what was too much, a close in between would count those tokens as unspent and
-// the put-back would create them anew.
-func (s *stock) take(now time.Time, n Tokens) bool {
+// It only ever subtracts tokens that are there. If it subtracted first and
+// added the excess back, a close in between would count those tokens as
+// unspent, and adding them back would create them anew.
+func (g *heldGrant) take(now time.Time, n Tokens) bool {
 	for {
-		v := s.left.Load()
-		if v < int64(n) || !now.Before(s.until) {
+		left := g.left.Load()
+		if left < int64(n) || !now.Before(g.expiresAt) {
 			return false
 		}
-		if s.left.CompareAndSwap(v, v-int64(n)) {
+		if g.left.CompareAndSwap(left, left-int64(n)) {
 			return true
 		}
 	}
 }
 
-// close ends the stock and returns what was unspent.
-func (s *stock) close() Tokens {
-	return Tokens(s.left.Swap(0))
+// close ends the grant at its spender and returns the unspent tokens.
+func (g *heldGrant) close() Tokens {
+	return Tokens(g.left.Swap(0))
 }
--- a/core/reference/ledger.go
+++ b/core/reference/ledger.go
@@ -1,5 +1,3 @@
-// Package reference does in the plainest way what the system does: one host, one
-// lock, one database instance. Tests compare the two.
 package reference
 
 import (
@@ -8,22 +6,23 @@
 )
 
 // Database is a database group with one instance: every write is acknowledged
-// once it is there, and every read sees all of them. The zero Database is empty.
+// once it is stored, and every read returns all writes. The zero Database is
+// empty.
 type Database struct {
 	mu     sync.Mutex
 	values []string
 }
 
 // Write adds a value.
-func (l *Database) Write(v string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.values = append(l.values, v)
+func (d *Database) Write(v string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.values = append(d.values, v)
 }
 
 // Read returns all values in the order of their writes.
-func (l *Database) Read() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Clone(l.values)
+func (d *Database) Read() []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.values)
 }
