--- a/core/place/bench_test.go
+++ b/core/place/bench_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// BenchmarkMix reports, for both users' mixes at several replication lags, the
-// share of reads that replicas serve and how long reads and writes take, in the
-// virtual time of the simulation.
+// BenchmarkMix reports, for the workloads of both users at several replication
+// lags, the share of reads that replicas serve and the latency of reads and writes,
+// in the virtual time of the simulation.
 func BenchmarkMix(b *testing.B) {
-	mixes := map[string]load{
-		// Standing and rush orders, and stock lookups of a stated age.
+	mixes := map[string]workload{
+		// Standing and rush orders, and stock lookups that accept data of a stated age.
 		"tokachi": {rate: 300, write: 0.3, token: 0.25, aged: 0.35, blind: 0.1, age: 5 * time.Second},
-		// Intake and withdrawals, and the portal's browsing.
+		// Intake and withdrawals, and browsing in the portal.
 		"vinkambaris": {rate: 300, write: 0.15, token: 0.15, aged: 0.65, blind: 0.05, age: 5 * time.Second},
 	}
 	for name, l := range mixes {
--- a/core/place/budget.go
+++ b/core/place/budget.go
@@ -1,37 +1,37 @@
 package place
 
-// RetryBudget limits how often declared reads are tried again. The zero RetryBudget has
-// its full reserve.
+// RetryBudget limits how often declared reads are retried. The zero RetryBudget is
+// full.
 //
-// The load is a group that fails many reads, because it is overloaded or its
-// primary changes: unlimited retries then multiply the load that caused the
-// failures. A retry costs one token and a read earns budgetShare of one, so
-// retries add at most a tenth to the reads; the reserve covers the few reads
-// that were under way when an instance died.
+// Designed for a group that fails many reads because it is overloaded or its
+// primary changes: unlimited retries would multiply the load that caused the
+// failures. A retry costs one token and a read earns retryTokensPerRead, so
+// retries add at most a tenth to the reads. maxRetryTokens covers the few reads
+// that were in progress when an instance failed.
 type RetryBudget struct {
 	spent float64
 }
 
 const (
-	budgetShare   = 0.1
-	budgetReserve = 10
+	retryTokensPerRead = 0.1
+	maxRetryTokens     = 10
 )
 
-// Earn counts a read that is sent for the first time.
+// Earn adds the tokens for a read that is sent for the first time.
 func (b *RetryBudget) Earn() {
-	b.spent = max(0, b.spent-budgetShare)
+	b.spent = max(0, b.spent-retryTokensPerRead)
 }
 
-// Take reports whether a read may be tried again, and counts the retry.
+// Take reports whether a read may be retried, and takes the token for the retry.
 func (b *RetryBudget) Take() bool {
-	if b.spent+1 > budgetReserve {
+	if b.spent+1 > maxRetryTokens {
 		return false
 	}
 	b.spent++
 	return true
 }
 
-// Left returns how many retries are left.
+// Left returns how many tokens are left, one for each retry.
 func (b *RetryBudget) Left() float64 {
-	return budgetReserve - b.spent
+	return maxRetryTokens - b.spent
 }
--- a/core/place/choose.go
+++ b/core/place/choose.go
@@ -9,24 +9,24 @@
 	"skylarkdeal/core/session"
 )
 
-// RequestInfo is what the choice of an instance depends on, of one request.
+// RequestInfo is what Choose needs to know of a request.
 type RequestInfo struct {
 	Intent exchange.Intent
 	Need   session.Need
-	// Long is set for work that will hold its slot for long.
+	// Long is set for a statement that occupies its slot for a long time.
 	Long bool
-	// Tried are the instances that have failed this request already.
+	// Tried are the instances on which this request has already failed.
 	Tried fleet.Set[fleet.Instance]
-	// Deadline is when the answer has to be there.
+	// Deadline is when the answer is due.
 	Deadline time.Time
 }
 
-// Load is the use of one instance by this holder.
+// Load is this holder's use of one instance.
 type Load struct {
-	// Busy and Slots are the statements under way and the most there may be.
+	// Busy is how many statements run, Slots how many may run at a time.
 	Busy  int
 	Slots int
-	// Latency is measured over the callers' statements.
+	// Latency is averaged over the callers' statements.
 	Latency LatencyAverage
 }
 
@@ -35,29 +35,29 @@
 	return max(0, l.Slots-l.Busy)
 }
 
-// Loads is the use of the instances, and of the group's queue.
+// Loads is this holder's use of the instances, and the length of the group's queue.
 type Loads struct {
 	Instances map[fleet.Instance]Load
-	// Waiting is how many requests the queue holds, with the one chosen for.
+	// Waiting is the length of the queue, including the request to be placed.
 	Waiting int
 }
 
-// Action is what to do with a request.
+// Action is what the holder does with a request.
 type Action string
 
 // The actions.
 const (
 	// ActionRun sends the request to Choice.Instance.
 	ActionRun Action = "run"
-	// ActionWait leaves it in the queue until a slot is free, the table changes
-	// or Choice.Until has come.
+	// ActionWait leaves the request in the queue until a slot is free, the group's
+	// snapshot changes or Choice.Until is reached.
 	ActionWait Action = "wait"
-	// ActionProve asks for a fresh point first; the request is then chosen for
-	// again with its need resolved.
+	// ActionProve first obtains a current log position; Choose is then called
+	// again with that position in RequestInfo.Need.
 	ActionProve Action = "prove"
 )
 
-// Choice is where a request goes.
+// Choice is where a request runs, or what it waits for.
 type Choice struct {
 	Action   Action
 	Instance fleet.Instance
@@ -69,62 +69,62 @@
 
 // Choose decides which instance serves a request.
 //
-// The load is a primary that has to serve all writes of the group, and replicas
-// that lag: a read goes where its answer is expected first, and the primary has
-// to be faster by patience to get it, so that reads don't take the primary's
-// slots for a short lag. An instance that leaves gets nothing. Long work is kept
-// off the last free slot, or one long report would hold up every short request.
-func Choose(now time.Time, f RequestInfo, t group.Snapshot, l Loads) Choice {
-	if f.Intent != exchange.IntentRead {
-		return write(now, f, t, l)
+// Designed for a primary that has to serve all writes of the group, and replicas
+// that lag. A read goes to the instance with the earliest expected answer; the
+// primary has to be faster by primaryPenalty, so that a short replication lag
+// doesn't send reads to the primary's slots. A leaving instance gets no requests.
+// Long statements don't take the last free slot, since one long report would
+// block all short requests.
+func Choose(now time.Time, request RequestInfo, snapshot group.Snapshot, loads Loads) Choice {
+	if request.Intent != exchange.IntentRead {
+		return chooseForWrite(now, request, snapshot, loads)
 	}
-	if f.Need.Latest() {
-		return Choice{Action: ActionProve, Reason: "shows no token"}
+	if request.Need.Latest() {
+		return Choice{Action: ActionProve, Reason: "the read shows no token"}
 	}
-	o, ok := best(now, f, t, l)
+	o, ok := bestCandidate(now, request, snapshot, loads)
 	if !ok {
-		return Choice{Action: ActionWait, Until: now.Add(recheck), Reason: "no instance can serve it yet"}
+		return Choice{Action: ActionWait, Until: now.Add(minRecheckDelay), Reason: "no instance can serve the read yet"}
 	}
 	if o.wait > 0 {
 		return Choice{
-			Action: ActionWait, Instance: o.instance, Role: o.role, Until: now.Add(max(o.wait/2, recheck)),
+			Action: ActionWait, Instance: o.instance, Role: o.role, Until: now.Add(max(o.wait/2, minRecheckDelay)),
 			Reason: o.reason,
 		}
 	}
 	return Choice{Action: ActionRun, Instance: o.instance, Role: o.role}
 }
 
-// recheck is the shortest wait before a request is chosen for again.
-const recheck = time.Millisecond
+// minRecheckDelay is the shortest wait before Choose is called again for a request.
+const minRecheckDelay = time.Millisecond
 
-// suspicious is how long an instance may owe an answer and still get new work.
-// A write that is sent to a dead primary ends with an unknown outcome; one that
-// waits for the next primary is merely late.
-const suspicious = 150 * time.Millisecond
+// silenceLimit is how long an instance may leave a status request unanswered and
+// still get requests. A write that is sent to a failed primary ends with an unknown
+// outcome; one that waits for the next primary is only delayed.
+const silenceLimit = 150 * time.Millisecond
 
-func write(now time.Time, f RequestInfo, t group.Snapshot, l Loads) Choice {
-	s, ok := t.Find(t.Primary)
-	switch u := l.Instances[t.Primary]; {
+func chooseForWrite(now time.Time, request RequestInfo, snapshot group.Snapshot, loads Loads) Choice {
+	s, ok := snapshot.Find(snapshot.Primary)
+	switch u := loads.Instances[snapshot.Primary]; {
 	case !ok:
 		return Choice{Action: ActionWait, Reason: "no primary is known"}
-	case s.Silent(now) > suspicious:
-		return Choice{Action: ActionWait, Instance: t.Primary, Reason: "the primary is silent"}
-	case !t.HasQuorum(now):
-		// A data centre that is cut off with the old primary: the write would run
-		// and end as unknown. Unsent, it can be refused as not run.
-		return Choice{Action: ActionWait, Instance: t.Primary, Reason: "no majority of the instances answers"}
-	case s.Instance.Leaving && t.CanHandOver(now):
-		return Choice{Action: ActionWait, Instance: t.Primary, Reason: "the primary leaves"}
-	case !admits(u, f.Long, l.Waiting):
-		return Choice{Action: ActionWait, Instance: t.Primary, Reason: "the primary's slots are taken"}
+	case s.Silent(now) > silenceLimit:
+		return Choice{Action: ActionWait, Instance: snapshot.Primary, Reason: "the primary is silent"}
+	case !snapshot.HasQuorum(now):
+		// This host may be cut off together with the old primary: the write would
+		// run there and end as unknown. If it isn't sent, it can be refused as not run.
+		return Choice{Action: ActionWait, Instance: snapshot.Primary, Reason: "no majority of the instances responds"}
+	case s.Instance.Leaving && snapshot.CanHandOver(now):
+		return Choice{Action: ActionWait, Instance: snapshot.Primary, Reason: "the primary is leaving"}
+	case !hasSlot(u, request.Long, loads.Waiting):
+		return Choice{Action: ActionWait, Instance: snapshot.Primary, Reason: "the primary's slots are taken"}
 	}
-	return Choice{Action: ActionRun, Instance: t.Primary, Role: fleet.RolePrimary}
+	return Choice{Action: ActionRun, Instance: snapshot.Primary, Role: fleet.RolePrimary}
 }
 
-// admits reports whether another statement may start. Long work leaves a slot
-// free; where there is but one, it starts only while nothing else waits than the
-// request itself.
-func admits(u Load, long bool, waiting int) bool {
+// hasSlot reports whether another statement may start. A long statement leaves one
+// slot free; where there is only one slot, it starts only if no other request waits.
+func hasSlot(u Load, long bool, waiting int) bool {
 	switch {
 	case !long:
 		return u.Free() > 0
@@ -134,90 +134,98 @@
 	return u.Free() > 1
 }
 
-// option is one instance that may serve a read.
-type option struct {
+// candidate is an instance that may serve a read.
+type candidate struct {
 	instance fleet.Instance
 	role     fleet.Role
-	// wait is the time until it can start.
+	// wait is the time until the read can start, reason what it waits for.
 	wait   time.Duration
 	reason string
-	// expect is the time until its answer.
-	expect time.Duration
+	// expected is the estimated time until the answer, with primaryPenalty.
+	expected time.Duration
 }
 
-// patience is by how much a read is expected to end sooner at the primary for
-// it to go there. It lets reads wait for a replica that lags by a few
-// milliseconds, which people don't notice, and leaves the primary to the writes.
-const patience = 25 * time.Millisecond
-
-func best(now time.Time, f RequestInfo, t group.Snapshot, l Loads) (option, bool) {
-	var out option
-	for _, s := range t.Observations {
-		o, ok := consider(now, f, t, l, s)
-		if ok && (out.instance == "" || o.expect < out.expect) {
+// primaryPenalty is by how much the primary's expected answer has to be earlier than
+// a replica's for a read to go to the primary. It lets reads wait for a replica that
+// lags by a few milliseconds, which users don't notice, and keeps the primary free
+// for writes.
+const primaryPenalty = 25 * time.Millisecond
+
+func bestCandidate(now time.Time, request RequestInfo, snapshot group.Snapshot, loads Loads) (candidate, bool) {
+	var out candidate
+	for _, s := range snapshot.Observations {
+		o, ok := evaluate(now, request, snapshot, loads, s)
+		if ok && (out.instance == "" || o.expected < out.expected) {
 			out = o
 		}
 	}
 	return out, out.instance != ""
 }
 
-func consider(now time.Time, f RequestInfo, t group.Snapshot, l Loads, s group.Observation) (option, bool) {
+// evaluate estimates when the observed instance would answer a read. It returns
+// false if the instance can't serve the read.
+func evaluate(
+	now time.Time, request RequestInfo, snapshot group.Snapshot, loads Loads, s group.Observation,
+) (candidate, bool) {
 	n := s.Instance.Name
-	if !s.Known() || s.Instance.Leaving || f.Tried.Has(n) || s.Silent(now) > suspicious {
-		return option{}, false
+	if !s.Known() || s.Instance.Leaving || request.Tried.Has(n) || s.Silent(now) > silenceLimit {
+		return candidate{}, false
 	}
-	o := option{instance: n, role: fleet.RoleReplica}
-	u := l.Instances[n]
-	each := max(u.Latency.Read(now), latencyFloor)
-	if n == t.Primary {
-		if !primaryServes(now, f, t, s) {
-			return option{}, false
+	o := candidate{instance: n, role: fleet.RoleReplica}
+	u := loads.Instances[n]
+	each := max(u.Latency.Read(now), minLatency)
+	if n == snapshot.Primary {
+		if !primarySatisfies(now, request, snapshot, s) {
+			return candidate{}, false
 		}
 		o.role = fleet.RolePrimary
-		o.expect = patience + each*time.Duration(l.Waiting)/time.Duration(max(1, u.Slots))
-	} else if s.Status.Role != fleet.RoleReplica || !o.catchUp(now, f, t, s) {
-		return option{}, false
+		o.expected = primaryPenalty + each*time.Duration(loads.Waiting)/time.Duration(max(1, u.Slots))
+	} else if s.Status.Role != fleet.RoleReplica || !o.setReplicaWait(now, request, snapshot, s) {
+		return candidate{}, false
 	}
-	if !admits(u, f.Long, l.Waiting) && o.wait < each {
-		o.wait, o.reason = each, "its slots are taken"
+	if !hasSlot(u, request.Long, loads.Waiting) && o.wait < each {
+		o.wait, o.reason = each, "the slots of the instance are taken"
 	}
-	o.expect += o.wait + each*time.Duration(1+u.Busy)/time.Duration(max(1, u.Slots))
+	o.expected += o.wait + each*time.Duration(1+u.Busy)/time.Duration(max(1, u.Slots))
 	return o, true
 }
 
-// primaryServes reports whether an answer of the primary will satisfy the read:
-// it does by what is known already, or the statuses to come will prove it, for
-// which a majority has to answer. A primary that has been replaced on the other
-// side of a cut never covers a token of a later term.
-func primaryServes(now time.Time, f RequestInfo, t group.Snapshot, s group.Observation) bool {
+// primarySatisfies reports whether an answer of the primary will satisfy the read.
+// Either the known statuses show it, or later ones can verify it, for which a
+// majority of the instances has to respond. A primary that has been replaced beyond
+// a network partition never covers a token of a later term.
+func primarySatisfies(now time.Time, request RequestInfo, snapshot group.Snapshot, s group.Observation) bool {
 	a := session.Answer{Position: s.Status.Last, Role: fleet.RolePrimary}
-	if f.Need.Satisfied(a, now, t) {
+	if request.Need.Satisfied(a, now, snapshot) {
 		return true
 	}
-	after, ok := f.Need.After.Get()
-	return t.HasQuorum(now) && (!ok || after.Term <= t.Term)
+	after, ok := request.Need.After.Get()
+	return snapshot.HasQuorum(now) && (!ok || after.Term <= snapshot.Term)
 }
 
-// latencyFloor keeps an instance that nothing is measured of from looking free
-// of cost, so that its use still counts.
-const latencyFloor = time.Millisecond
+// minLatency is assumed for an instance without latency samples. With zero, its
+// running statements would add nothing to the expected time.
+const minLatency = time.Millisecond
 
-// ageMargin is what a read's way to the replica and back adds to the age of its
-// data; without it the answer would come in a little too old and the read would
-// have to be tried again.
+// ageMargin is what the round trip to the replica adds to the age of the data.
+// Without it an answer could arrive slightly too old, and the read would have to be
+// retried.
 const ageMargin = 10 * time.Millisecond
 
-// catchUp sets how long a replica takes to satisfy the read: its usual lag, as
-// the entry may have been written just now.
-func (o *option) catchUp(now time.Time, f RequestInfo, t group.Snapshot, s group.Observation) bool {
+// setReplicaWait sets how long the read waits for the replica to catch up: its usual
+// lag, as the required log entry may just have been written. It returns false if
+// waiting doesn't help.
+func (o *candidate) setReplicaWait(
+	now time.Time, request RequestInfo, snapshot group.Snapshot, s group.Observation,
+) bool {
 	a := session.Answer{Position: s.Status.Last, Role: fleet.RoleReplica}
-	if f.Need.Satisfied(a, now.Add(min(ageMargin, f.Need.MaxAge/2)), t) {
+	if request.Need.Satisfied(a, now.Add(min(ageMargin, request.Need.MaxAge/2)), snapshot) {
 		return true
 	}
-	if f.Need.MaxAge > 0 {
-		// Waiting doesn't make a lagging replica's data younger.
+	if request.Need.MaxAge > 0 {
+		// The data of a lagging replica doesn't get fresher while the read waits.
 		return false
 	}
-	o.wait, o.reason = max(s.Lag, recheck), "the replica has yet to catch up"
+	o.wait, o.reason = max(s.Lag, minRecheckDelay), "the replica has not caught up"
 	return true
 }
--- a/core/place/choose_test.go
+++ b/core/place/choose_test.go
@@ -10,14 +10,14 @@
 	"skylarkdeal/core/place"
 )
 
-// browsing is mostly stock lookups, some of them of a caller's own work.
-var browsing = load{rate: 300, write: 0.2, token: 0.2, aged: 0.4, blind: 0.2, age: 5 * time.Second}
+// browsingWorkload is mostly stock lookups; some of them have to show the caller's own writes.
+var browsingWorkload = workload{rate: 300, write: 0.2, token: 0.2, aged: 0.4, blind: 0.2, age: 5 * time.Second}
 
 func TestReadsGoToReplicas(t *testing.T) {
 	tests := []struct {
 		name string
 		lag  time.Duration
-		// least is the least share of each class of reads.
+		// token, aged and blind are the minimum share of replica reads in each class.
 		token, aged, blind float64
 	}{
 		{name: "1 ms lag", lag: time.Millisecond, token: 0.95, aged: 0.99, blind: 0.95},
@@ -27,7 +27,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			s := newSim(browsing)
+			s := newSim(browsingWorkload)
 			s.lag = tt.lag
 			s.run(10 * time.Second)
 			for class, least := range map[string]float64{"token": tt.token, "aged": tt.aged, "blind": tt.blind} {
@@ -39,25 +39,26 @@
 	}
 }
 
-// One replica's disk is failing and it answers fifty times as slowly. Portal
-// users whose reads it gets see every second page stall, until reads shift.
+// Guards against reads that stay at a slow replica: its disk is failing and it
+// answers fifty times as slowly, so every second page of the portal stalls until
+// the reads move to other instances. Once it has recovered, it has to get reads again.
 func TestReadsShiftFromASlowReplicaAndBack(t *testing.T) {
 	c := qt.New(t)
-	s := newSim(browsing)
+	s := newSim(browsingWorkload)
 	s.work["b"] = 100 * time.Millisecond
 	s.run(10 * time.Second)
 	c.Assert(s.outcome("aged").p99 < 110*time.Millisecond, qt.IsTrue, qt.Commentf("%+v", s.outcome("aged")))
-	slow := share(s.ended, "b")
+	slow := readShare(s.ended, "b")
 	c.Assert(slow > 0 && slow < 0.05, qt.IsTrue, qt.Commentf("%v of the reads went to the slow replica", slow))
 	s.work["b"] = 2 * time.Millisecond
 	s.run(30 * time.Second)
 	from := len(s.ended)
 	s.run(10 * time.Second)
-	again := share(s.ended[from:], "b")
+	again := readShare(s.ended[from:], "b")
 	c.Assert(again > 0.25, qt.IsTrue, qt.Commentf("%v of the reads went to the replica that recovered", again))
 }
 
-func share(rs []*request, n fleet.Instance) float64 {
+func readShare(rs []*request, n fleet.Instance) float64 {
 	var got, all float64
 	for _, r := range rs {
 		if r.class == "write" {
@@ -71,11 +72,11 @@
 	return got / all
 }
 
-// A report that runs for 200 ms takes a slot, then another, until short reads
-// wait for reports to end.
+// Guards against reports of 200 ms that take one slot after another until all short
+// requests wait for reports to end.
 func TestLongWorkLeavesASlotForShortWork(t *testing.T) {
 	c := qt.New(t)
-	l := browsing
+	l := browsingWorkload
 	l.long = 0.03
 	s := newSim(l)
 	s.run(10 * time.Second)
@@ -86,27 +87,28 @@
 	c.Assert(s.outcome("long").ended > 50, qt.IsTrue)
 }
 
-// Three times as many requests arrive as the group can serve. What is served is
-// served at the speed of the instances, and the primary's slots go to writes.
-func TestSaturationKeepsWritesMoving(t *testing.T) {
+// Twice as many requests arrive as the six slots can serve. The instances have to
+// stay fully used, and writes have to get the primary's slots.
+func TestWritesStayFastUnderSaturation(t *testing.T) {
 	c := qt.New(t)
-	l := browsing
+	l := browsingWorkload
 	l.rate, l.write = 6000, 0.05
 	s := newSim(l)
 	s.run(time.Second)
-	// Six slots of 2 ms serve 3000 a second.
+	// Six slots with statements of 2 ms serve 3000 requests a second.
 	c.Assert(s.outcome("").ended > 2200, qt.IsTrue, qt.Commentf("%+v", s.outcome("")))
 	w := s.outcome("write")
 	c.Assert(w.p99 < 100*time.Millisecond, qt.IsTrue, qt.Commentf("%+v", w))
 }
 
-// An operator marks a replica as leaving in the middle of traffic.
+// Guards against reads that start at an instance after an operator has marked it as
+// leaving.
 func TestLeavingInstanceGetsNothingNew(t *testing.T) {
 	c := qt.New(t)
-	s := newSim(browsing)
+	s := newSim(browsingWorkload)
 	s.run(time.Second)
-	c.Assert(share(s.ended, "b") > 0, qt.IsTrue)
-	s.leave["b"] = true
+	c.Assert(readShare(s.ended, "b") > 0, qt.IsTrue)
+	s.leaving["b"] = true
 	s.run(time.Second)
 	left := s.now.Add(-time.Second)
 	for _, r := range s.ended {
@@ -116,23 +118,23 @@
 	}
 }
 
-// No read may start at a replica whose log doesn't have what it needs, or the
-// answer would be thrown away and the read tried again.
-func TestNoReadStartsWhereItWouldMissItsOwnWork(t *testing.T) {
+// Guards against reads that start at a replica whose log doesn't cover their token:
+// the answer would be discarded and the read retried.
+func TestTokenReadStartsOnlyAtACaughtUpReplica(t *testing.T) {
 	c := qt.New(t)
-	s := newSim(browsing)
+	s := newSim(browsingWorkload)
 	s.lag = 7 * time.Millisecond
 	s.run(5 * time.Second)
 	for _, r := range s.ended {
-		after, ok := r.facts.Need.After.Get()
+		after, ok := r.info.Need.After.Get()
 		if ok && !r.reads.Covers(after) && r.choice.Role == fleet.RoleReplica {
 			c.Fatalf("read after %v started at %v", after, r.reads)
 		}
 	}
 }
 
-// The database fails every read. Without a budget each read would be sent three
-// times, and the overload that made them fail would last.
+// Guards against retries that keep an overload going: the database fails every read,
+// and without a budget each read would be sent three times.
 func TestBudgetBoundsRetries(t *testing.T) {
 	c := qt.New(t)
 	var b place.RetryBudget
--- a/core/place/cutoff_test.go
+++ b/core/place/cutoff_test.go
@@ -12,10 +12,10 @@
 	"skylarkdeal/core/session"
 )
 
-// cutOff returns a simulation two seconds after a cut that left this host with
-// the given instances only. Nothing has been promoted.
-func cutOff(reached ...fleet.Instance) *sim {
-	s := settled()
+// newCutOffSim returns a simulation two seconds after a network partition that left
+// only the reached instances reachable from this host. No instance has been promoted.
+func newCutOffSim(reached ...fleet.Instance) *sim {
+	s := newObservedSim()
 	left := fleet.NewSet(reached...)
 	for range 40 {
 		s.now = s.now.Add(50 * time.Millisecond)
@@ -34,9 +34,9 @@
 	return s
 }
 
-// A data centre is cut off in the middle of the day. Storage staff go on to see
-// their own bookings where a reachable instance has them, and portal users what
-// is young enough; nothing is booked that can't be confirmed.
+// A data centre is cut off. Reads of own writes have to go on where a reachable
+// instance has them, and reads that accept an age where the data is recent enough.
+// No write may run that can't be confirmed.
 func TestCutOffDataCentre(t *testing.T) {
 	read := func(n session.Need) place.RequestInfo {
 		return place.RequestInfo{Intent: exchange.IntentRead, Need: n}
@@ -49,7 +49,7 @@
 	tests := []struct {
 		name    string
 		reached []fleet.Instance
-		// runs is where each request runs; empty while it waits.
+		// The instance that runs each request, empty while the request waits.
 		write, own, ahead, young, old fleet.Instance
 	}{
 		{name: "with the old primary", reached: []fleet.Instance{"a"}, own: "a", old: "a"},
@@ -64,17 +64,18 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			s := cutOff(tt.reached...)
-			c.Check(runs(s, write), qt.Equals, tt.write, qt.Commentf("write"))
-			c.Check(runs(s, own), qt.Equals, tt.own, qt.Commentf("read of own work"))
-			c.Check(runs(s, ahead), qt.Equals, tt.ahead, qt.Commentf("read of own work that isn't here"))
-			c.Check(runs(s, young), qt.Equals, tt.young, qt.Commentf("read of an age of 1 s"))
-			c.Check(runs(s, old), qt.Equals, tt.old, qt.Commentf("read of an age of 5 s"))
+			s := newCutOffSim(tt.reached...)
+			c.Check(chosenInstance(s, write), qt.Equals, tt.write, qt.Commentf("write"))
+			c.Check(chosenInstance(s, own), qt.Equals, tt.own, qt.Commentf("read of own writes"))
+			c.Check(chosenInstance(s, ahead), qt.Equals, tt.ahead, qt.Commentf("read of unreachable own writes"))
+			c.Check(chosenInstance(s, young), qt.Equals, tt.young, qt.Commentf("read that accepts an age of 1 s"))
+			c.Check(chosenInstance(s, old), qt.Equals, tt.old, qt.Commentf("read that accepts an age of 5 s"))
 		})
 	}
 }
 
-func runs(s *sim, f place.RequestInfo) fleet.Instance {
+// chosenInstance returns the instance that runs the request now, empty if the request waits.
+func chosenInstance(s *sim, f place.RequestInfo) fleet.Instance {
 	c := s.choose(f)
 	if c.Action != place.ActionRun {
 		return ""
--- a/core/place/holders.go
+++ b/core/place/holders.go
@@ -14,29 +14,30 @@
 )
 
 // DefaultHolders is how many hosts hold a group's connections when its document
-// names no number: two that can agree that a primary has failed while a third
-// is being replaced, and few enough that 16 connections make shares of use.
+// sets no number. With three, two can agree that a primary has failed while the
+// third is being replaced, and 16 connections still give each a useful share.
 const DefaultHolders = 3
 
-// Holders returns the hosts that hold the connections of d's group, the
-// preferred one first. Every host that goes by the same members and document
-// returns the same hosts, and when a host comes or goes at most one place
-// changes hands.
+// Holders returns the count hosts that hold the connections of d's group, the
+// preferred one first. A count of 0 stands for the document's number, or
+// DefaultHolders if that is 0 as well. Every host with the same members and
+// document gets the same result, and when a host joins or leaves, at most one
+// holder is replaced.
 //
-// The data centres of the instances take turns, so that the holders see the
-// instances from different data centres and a cut leaves some on either side.
-// Hosts elsewhere are taken only when these have too few. A leaving host holds
-// nothing.
-func Holders(d *document.Document, members []fleet.Member, k int) []fleet.Host {
-	if k == 0 {
-		k = d.Holders
+// Holders are taken in turn from the data centres that have an instance, so that
+// they observe the instances from different data centres and a network partition
+// leaves some on either side. Hosts of other data centres are used only when
+// these have too few. A leaving host is never a holder.
+func Holders(d *document.Document, members []fleet.Member, count int) []fleet.Host {
+	if count == 0 {
+		count = d.Holders
 	}
-	if k == 0 {
-		k = DefaultHolders
+	if count == 0 {
+		count = DefaultHolders
 	}
-	near := fleet.NewSet[fleet.DataCentre]()
+	local := fleet.NewSet[fleet.DataCentre]()
 	for _, i := range d.Instances {
-		near.Add(i.DataCentre)
+		local.Add(i.DataCentre)
 	}
 	hosts := make(map[fleet.DataCentre][]string)
 	for _, m := range members {
@@ -44,45 +45,48 @@
 			continue
 		}
 		c := m.DataCentre
-		if !near.Has(c) {
-			c = elsewhere
+		if !local.Has(c) {
+			c = otherDataCentres
 		}
 		hosts[c] = append(hosts[c], string(m.Host))
 	}
-	out := turns(d.Service, ranked(d.Service, near.Sorted()), hosts, k)
-	if len(out) < k {
-		out = append(out, top(d.Service, hosts[elsewhere], k-len(out))...)
+	out := interleave(d.Service, rankDataCentres(d.Service, local.Sorted()), hosts, count)
+	if len(out) < count {
+		out = append(out, topRanked(d.Service, hosts[otherDataCentres], count-len(out))...)
 	}
 	return out
 }
 
-// elsewhere stands for the data centres without an instance; it is no valid
-// name of one.
-const elsewhere fleet.DataCentre = ""
+// otherDataCentres stands for all data centres without an instance. It is not a
+// valid name of a data centre.
+const otherDataCentres fleet.DataCentre = ""
 
-func ranked(s fleet.Service, centres []fleet.DataCentre) []fleet.DataCentre {
+// rankDataCentres orders the data centres by rendezvous hashing for s.
+func rankDataCentres(s fleet.Service, centres []fleet.DataCentre) []fleet.DataCentre {
 	names := make([]string, 0, len(centres))
 	for _, c := range centres {
 		names = append(names, string(c))
 	}
 	out := make([]fleet.DataCentre, 0, len(centres))
-	for _, h := range top(s, names, len(names)) {
+	for _, h := range topRanked(s, names, len(names)) {
 		out = append(out, fleet.DataCentre(h))
 	}
 	return out
 }
 
-func turns(
-	s fleet.Service, centres []fleet.DataCentre, hosts map[fleet.DataCentre][]string, k int,
+// interleave returns up to count hosts: the first-ranked host of each data centre,
+// then the second-ranked ones, and so on.
+func interleave(
+	s fleet.Service, centres []fleet.DataCentre, hosts map[fleet.DataCentre][]string, count int,
 ) []fleet.Host {
 	best := make([][]fleet.Host, len(centres))
 	for i, c := range centres {
-		best[i] = top(s, hosts[c], k)
+		best[i] = topRanked(s, hosts[c], count)
 	}
 	var out []fleet.Host
-	for turn := range k {
+	for turn := range count {
 		for _, b := range best {
-			if turn < len(b) && len(out) < k {
+			if turn < len(b) && len(out) < count {
 				out = append(out, b[turn])
 			}
 		}
@@ -90,8 +94,8 @@
 	return out
 }
 
-// top returns the n names that rendezvous hashing ranks first for s.
-func top(s fleet.Service, names []string, n int) []fleet.Host {
+// topRanked returns the n names that rendezvous hashing ranks first for s.
+func topRanked(s fleet.Service, names []string, n int) []fleet.Host {
 	rest := slices.Sorted(slices.Values(names))
 	var out []fleet.Host
 	for len(out) < n && len(rest) > 0 {
@@ -102,29 +106,30 @@
 	return out
 }
 
-// ConnectionShare is what one holder may use of an instance.
+// ConnectionShare is one holder's share of an instance's connections and slots.
 type ConnectionShare struct {
-	// Connections is how many connections it may open, the one for control
-	// among them.
+	// Connections is how many connections the holder may open, including the
+	// control connection.
 	Connections int
-	// Slots is how many statements it may have the instance work on at a time.
+	// Slots is how many statements of the holder the instance may run at a time.
 	Slots int
 }
 
-// StatementConnections returns how many connections are left for callers' statements.
+// StatementConnections returns how many connections serve callers' statements: all
+// but the control connection.
 func (s ConnectionShare) StatementConnections() int {
 	return max(0, s.Connections-1)
 }
 
-// Shares returns the share of h among holders of an instance, and false when h
-// is none of them.
+// Shares returns the share of h among the holders of instance i, and false if h
+// isn't one of the holders.
 //
-// The load is that of all holders at their most: their connections sum up to no
-// more than the instance takes, so that none is refused, whenever the hosts
-// agree on who the holders are. What is left over after an even split goes to
-// the preferred ones. Slots are a target for the queue and no fence of the
-// instance: each holder has at least one, since with none its callers would get
-// nothing, and the surplus waits at the instance, bounded by a slot a holder.
+// While the hosts agree on the holders, the connections of all shares sum up to no
+// more than the instance accepts, so that it refuses none. The remainder of an
+// even split goes to the preferred holders. Slots are a target for the holder's
+// queue and not enforced by the instance. Each holder has at least one, since
+// without a slot it would serve nothing; the statements in excess of the
+// instance's slots wait at the instance, at most one for each holder.
 func Shares(i document.Instance, holders []fleet.Host, h fleet.Host) (ConnectionShare, bool) {
 	rank := slices.Index(holders, h)
 	if rank < 0 {
@@ -132,12 +137,13 @@
 	}
 	n := len(holders)
 	return ConnectionShare{
-		Connections: split(i.Connections, n, rank),
-		Slots:       max(1, split(i.Slots, n, rank)),
+		Connections: evenShare(i.Connections, n, rank),
+		Slots:       max(1, evenShare(i.Slots, n, rank)),
 	}, true
 }
 
-func split(total, n, rank int) int {
+// evenShare returns the part of total for the holder of the given rank, of n holders.
+func evenShare(total, n, rank int) int {
 	s := total / n
 	if rank < total%n {
 		s++
--- a/core/place/holders_test.go
+++ b/core/place/holders_test.go
@@ -56,7 +56,7 @@
 	// Output: 2 3
 }
 
-func TestHoldersMoveOnePlaceAtATime(t *testing.T) {
+func TestLeavingHostReplacesAtMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := rapid.IntRange(1, 6).Draw(t, "k")
 		members := hosts(rapid.IntRange(1, 40).Draw(t, "hosts"), rapid.IntRange(1, 5).Draw(t, "centres"))
@@ -66,10 +66,10 @@
 			t.Fatalf("%d holders of %d hosts, want %d", len(before), len(members), k)
 		}
 		gone := rapid.IntRange(0, len(members)-1).Draw(t, "gone")
-		// The order in which the members are known must not matter.
+		// The result must not depend on the order of the members.
 		shuffled := rapid.Permutation(members).Draw(t, "order")
 		if !slices.Equal(before, place.Holders(d, shuffled, k)) {
-			t.Fatal("the order of the members changes the holders")
+			t.Fatal("the holders depend on the order of the members")
 		}
 		h := members[gone].Host
 		members[gone].Leaving = true
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestHoldersStandInEveryDataCentreOfTheGroup(t *testing.T) {
+func TestHoldersCoverEveryDataCentreOfTheGroup(t *testing.T) {
 	c := qt.New(t)
 	members := hosts(40, 4)
 	seen := fleet.NewSet[fleet.DataCentre]()
@@ -107,16 +107,17 @@
 			count[h]++
 		}
 	}
-	// 960 services × 3 holders over 90 hosts are 32 each.
+	// 960 services × 3 holders over 90 hosts: 32 on average.
 	for h, n := range count {
 		c.Check(n > 10 && n < 60, qt.IsTrue, qt.Commentf("%s holds %d", h, n))
 	}
 	c.Assert(count, qt.HasLen, 90)
 }
 
-// Hosts that agree on the holders must never have an instance refuse a
-// connection: a refusal shows as a statement that finds none.
-func TestSharesStayWithinTheInstance(t *testing.T) {
+// Guards against shares that exceed an instance's connections while the hosts agree
+// on the holders: the instance would refuse a connection, and a statement would go
+// without one.
+func TestSharesSumToTheInstanceLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		i := document.Instance{
 			Connections: rapid.IntRange(0, 64).Draw(t, "connections"),
--- a/core/place/guard_test.go
+++ b/core/place/rules_test.go
@@ -12,9 +12,9 @@
 	"skylarkdeal/core/session"
 )
 
-// settled returns a simulation whose instances have all been asked.
-func settled() *sim {
-	s := newSim(browsing)
+// newObservedSim returns a simulation in which all instances have reported their status.
+func newObservedSim() *sim {
+	s := newSim(browsingWorkload)
 	s.configure()
 	s.ask()
 	return s
@@ -26,19 +26,19 @@
 
 var aged = place.RequestInfo{Intent: exchange.IntentRead, Need: session.Need{MaxAge: time.Minute}}
 
-func TestChooseLeavesOutWhoFailedTheRead(t *testing.T) {
+func TestChooseSkipsInstancesThatFailedTheRead(t *testing.T) {
 	c := qt.New(t)
-	s := settled()
+	s := newObservedSim()
 	f := aged
 	f.Tried = fleet.NewSet[fleet.Instance]("b", "c")
 	c.Assert(s.choose(f).Instance, qt.Equals, fleet.Instance("a"))
 }
 
-// An instance has died. Until that is certain, what is sent to it waits for a
-// timeout; a write would end as unknown.
-func TestChooseLeavesOutSilentInstances(t *testing.T) {
+// Guards against requests to an instance that has failed while the failure isn't
+// confirmed yet: reads would wait for a timeout, and a write would end as unknown.
+func TestChooseSkipsSilentInstances(t *testing.T) {
 	c := qt.New(t)
-	s := settled()
+	s := newObservedSim()
 	for _, n := range names {
 		s.group.StatusRequested(n, s.now)
 	}
@@ -51,11 +51,11 @@
 	c.Assert(s.choose(aged).Instance, qt.Equals, fleet.Instance("b"))
 }
 
-// A data centre is cut off with the old primary. Its callers are better told that
-// their orders were not run than that nobody knows.
+// Guards against writes with an unknown outcome in a data centre that is cut off with
+// the old primary: a write that isn't sent can be refused as not run.
 func TestWritesWaitWhileNoMajorityAnswers(t *testing.T) {
 	c := qt.New(t)
-	s := settled()
+	s := newObservedSim()
 	s.group.StatusRequested("b", s.now)
 	s.group.StatusRequested("c", s.now)
 	s.now = s.now.Add(400 * time.Millisecond)
@@ -68,37 +68,37 @@
 
 func TestWritesWaitForTheSuccessorOfALeavingPrimary(t *testing.T) {
 	c := qt.New(t)
-	s := settled()
+	s := newObservedSim()
 	write := place.RequestInfo{Intent: exchange.IntentWrite}
 	c.Assert(s.choose(write).Action, qt.Equals, place.ActionRun)
-	s.leave["a"] = true
+	s.leaving["a"] = true
 	s.configure()
 	c.Assert(s.choose(write).Action, qt.Equals, place.ActionWait)
-	// Without a majority of others no successor will come, and writes go on.
-	s.leave["b"] = true
+	// Without a majority of other instances none can be promoted, so the leaving primary goes on with writes.
+	s.leaving["b"] = true
 	s.configure()
 	c.Assert(s.choose(write).Action, qt.Equals, place.ActionRun)
 }
 
-// A holder whose share is one slot would never run a report if the last slot
-// were kept free, and would block everyone if it weren't.
+// A holder whose share is one slot would never run a report if the last slot were
+// always kept free, and would block the other requests if it never were.
 func TestLongWorkTakesASingleSlotOnlyWhenNothingWaits(t *testing.T) {
 	c := qt.New(t)
-	s := settled()
+	s := newObservedSim()
 	s.slots = 1
 	long := place.RequestInfo{Intent: exchange.IntentWrite, Long: true}
-	// The queue holds the request that is chosen for, and then another.
+	// First the queue holds only the request to be placed, then a second one.
 	s.queue = append(s.queue, &request{})
 	c.Assert(s.choose(long).Action, qt.Equals, place.ActionRun)
 	s.queue = append(s.queue, &request{})
 	c.Assert(s.choose(long).Action, qt.Equals, place.ActionWait)
 }
 
-// A replica lags by more than the age that the read accepts. Waiting for it
-// would never end.
+// Guards against a wait without end: the replica lags by more than the age that the
+// read accepts, and waiting doesn't make its data fresher.
 func TestAgedReadDoesNotWaitForALaggingReplica(t *testing.T) {
 	c := qt.New(t)
-	s := settled()
+	s := newObservedSim()
 	s.lag = time.Hour
 	s.log = append(s.log, s.now)
 	s.now = s.now.Add(time.Millisecond)
@@ -108,9 +108,9 @@
 	c.Assert(s.choose(f).Instance, qt.Equals, fleet.Instance("a"))
 }
 
-func TestMeterFadesWhileNothingIsMeasured(t *testing.T) {
+func TestLatencyAverageDecaysWithoutSamples(t *testing.T) {
 	c := qt.New(t)
-	now := settled().now
+	now := newObservedSim().now
 	m := place.LatencyAverage{}.Observe(now, 80*time.Millisecond)
 	c.Assert(m.Read(now), qt.Equals, 80*time.Millisecond)
 	c.Assert(m.Read(now.Add(5*time.Second)), qt.Equals, 40*time.Millisecond)
--- a/core/place/sim_test.go
+++ b/core/place/sim_test.go
@@ -13,43 +13,44 @@
 	"skylarkdeal/core/session"
 )
 
-// load is a mix of requests for one holder of a group.
-type load struct {
+// workload is a mix of requests for one holder of a group.
+type workload struct {
 	// rate is in requests a second.
 	rate float64
-	// write, token, aged and blind are the parts of writes and of reads that
-	// show a token just got by a write, that accept an age, that show nothing.
+	// write is the weight of writes in the mix. The others are those of reads: token
+	// with the token of the latest write, aged with an accepted age, blind with
+	// neither.
 	write, token, aged, blind float64
-	// long is the part of the reads that take longWork.
+	// long is the fraction of the reads that take longWorkTime.
 	long float64
-	// age is what aged reads accept.
+	// age is the accepted age of aged reads.
 	age time.Duration
 }
 
-const longWork = 200 * time.Millisecond
+const longWorkTime = 200 * time.Millisecond
 
-// sim runs a load against three instances in virtual time: each request waits
-// in one queue until Choose finds it an instance.
+// sim runs a workload against three instances in virtual time. All requests wait
+// in one queue until Choose returns ActionRun.
 type sim struct {
-	load  load
-	lag   time.Duration
-	work  map[fleet.Instance]time.Duration
-	slots int
-	leave map[fleet.Instance]bool
-
-	rand    *rand.Rand
-	now     time.Time
-	group   group.Group
-	log     []time.Time
-	busy    map[fleet.Instance]int
-	meters  map[fleet.Instance]place.LatencyAverage
-	queue   []*request
-	running []*request
-	ended   []*request
+	load    workload
+	lag     time.Duration
+	work    map[fleet.Instance]time.Duration
+	slots   int
+	leaving map[fleet.Instance]bool
+
+	rand      *rand.Rand
+	now       time.Time
+	group     group.Group
+	log       []time.Time
+	busy      map[fleet.Instance]int
+	latencies map[fleet.Instance]place.LatencyAverage
+	queue     []*request
+	running   []*request
+	ended     []*request
 }
 
 type request struct {
-	facts   place.RequestInfo
+	info    place.RequestInfo
 	arrived time.Time
 	started time.Time
 	ends    time.Time
@@ -58,15 +59,15 @@
 	class   string
 }
 
-func newSim(l load) *sim {
+func newSim(l workload) *sim {
 	s := &sim{
 		load: l, lag: time.Millisecond, slots: 2,
-		work:   make(map[fleet.Instance]time.Duration),
-		leave:  make(map[fleet.Instance]bool),
-		rand:   rand.New(rand.NewPCG(1, 2)),
-		now:    time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC),
-		busy:   make(map[fleet.Instance]int),
-		meters: make(map[fleet.Instance]place.LatencyAverage),
+		work:      make(map[fleet.Instance]time.Duration),
+		leaving:   make(map[fleet.Instance]bool),
+		rand:      rand.New(rand.NewPCG(1, 2)),
+		now:       time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC),
+		busy:      make(map[fleet.Instance]int),
+		latencies: make(map[fleet.Instance]place.LatencyAverage),
 	}
 	for _, n := range names {
 		s.work[n] = 2 * time.Millisecond
@@ -80,12 +81,12 @@
 func (s *sim) configure() {
 	var d []document.Instance
 	for _, n := range names {
-		d = append(d, document.Instance{Name: n, Slots: s.slots, Leaving: s.leave[n]})
+		d = append(d, document.Instance{Name: n, Slots: s.slots, Leaving: s.leaving[n]})
 	}
 	s.group.Configure(s.now, d)
 }
 
-// last is the end of an instance's log; a is the primary.
+// last returns the last log position of an instance. Instance a is the primary.
 func (s *sim) last(n fleet.Instance) fleet.LogPosition {
 	p := len(s.log)
 	if n != "a" {
@@ -139,9 +140,9 @@
 	default:
 		r.class = "blind"
 	}
-	r.facts = place.RequestInfo{Intent: q.Intent, Need: session.Needs(q, s.now)}
+	r.info = place.RequestInfo{Intent: q.Intent, Need: session.Needs(q, s.now)}
 	if q.Intent == exchange.IntentRead && s.rand.Float64() < s.load.long {
-		r.facts.Long, r.class = true, "long"
+		r.info.Long, r.class = true, "long"
 	}
 	s.queue = append(s.queue, r)
 }
@@ -155,8 +156,8 @@
 		}
 		n := r.choice.Instance
 		s.busy[n]--
-		s.meters[n] = s.meters[n].Observe(s.now, s.now.Sub(r.started))
-		if r.facts.Intent == exchange.IntentWrite {
+		s.latencies[n] = s.latencies[n].Observe(s.now, s.now.Sub(r.started))
+		if r.info.Intent == exchange.IntentWrite {
 			s.log = append(s.log, s.now)
 		}
 		s.ended = append(s.ended, r)
@@ -167,7 +168,7 @@
 func (s *sim) loads() place.Loads {
 	l := place.Loads{Instances: make(map[fleet.Instance]place.Load), Waiting: len(s.queue)}
 	for _, n := range names {
-		l.Instances[n] = place.Load{Busy: s.busy[n], Slots: s.slots, Latency: s.meters[n]}
+		l.Instances[n] = place.Load{Busy: s.busy[n], Slots: s.slots, Latency: s.latencies[n]}
 	}
 	return l
 }
@@ -177,16 +178,16 @@
 	proof, _ := t.Prove()
 	var left []*request
 	for _, r := range s.queue {
-		r.facts.Need = r.facts.Need.Resolve(proof)
-		r.choice = place.Choose(s.now, r.facts, t, s.loads())
+		r.info.Need = r.info.Need.Resolve(proof)
+		r.choice = place.Choose(s.now, r.info, t, s.loads())
 		if r.choice.Action != place.ActionRun {
 			left = append(left, r)
 			continue
 		}
 		n := r.choice.Instance
 		work := s.work[n]
-		if r.facts.Long {
-			work = longWork
+		if r.info.Long {
+			work = longWorkTime
 		}
 		r.started, r.ends, r.reads = s.now, s.now.Add(work), s.last(n)
 		s.busy[n]++
@@ -195,7 +196,7 @@
 	s.queue = left
 }
 
-// outcome is what callers of a class got.
+// outcome summarises the answers to one class of requests.
 type outcome struct {
 	ended    int
 	replicas float64
