--- a/core/pathcost/fleet_test.go
+++ b/core/pathcost/fleet_test.go
@@ -8,189 +8,188 @@
 	"skylarkdeal/core/pathcost"
 )
 
-// span is a stretch of a play.
-type span struct{ from, to time.Duration }
+// interval is a part of the simulated time, without its end.
+type interval struct{ from, to time.Duration }
 
-func (s span) has(t time.Duration) bool { return t >= s.from && t < s.to }
+func (i interval) contains(t time.Duration) bool { return t >= i.from && t < i.to }
 
-// instance is one instance of a play.
+// instance is a simulated database instance.
 type instance struct {
-	centre string
-	slots  int
-	work   time.Duration
-	// leads is set for the primary.
-	leads bool
-	// slow is when its statements take ten times as long.
-	slow span
+	centre  string
+	slots   int
+	work    time.Duration
+	primary bool
+	// slow is when the instance's statements take ten times as long.
+	slow interval
 
 	busy  int
-	queue []*read
+	queue []*request
 }
 
-// entry is the hosts of one data centre, who know of the instances what they have seen themselves.
-type entry struct {
+// entryHosts simulates the hosts of one data centre, with the latencies that they have measured themselves.
+type entryHosts struct {
 	centre string
-	// rate is the reads a second, surge what it is times as much during a stretch.
+	// rate is in reads a second; during surgeTime it is multiplied by surgeFactor.
 	rate float64
-	// orders go to the primary only.
-	orders float64
-	surge  float64
-	when   span
+	// writes is in writes a second. They go to the primary only.
+	writes      float64
+	surgeFactor float64
+	surgeTime   interval
 
-	took  []time.Duration
-	at    []time.Duration
-	ahead []int
+	latency    []time.Duration
+	measuredAt []time.Duration
+	running    []int
 }
 
-// read is one read on its way.
-type read struct {
-	from  *entry
+// request is a simulated read or write in progress.
+type request struct {
+	from  *entryHosts
 	to    int
 	asked time.Duration
-	order bool
+	write bool
 }
 
-// play is a fleet with its load.
-type play struct {
+// simulation runs a fleet and its load in virtual time.
+type simulation struct {
 	target    time.Duration
-	entries   []*entry
+	entries   []*entryHosts
 	instances []*instance
 
-	now   time.Duration
-	next  agenda
-	rand  *rand.Rand
-	reads []outcome
+	now      time.Duration
+	events   eventQueue
+	rand     *rand.Rand
+	outcomes []outcome
 }
 
-// outcome is how one read went.
+// outcome records one answered request.
 type outcome struct {
 	centre string
 	asked  time.Duration
 	took   time.Duration
-	far    bool
-	order  bool
+	remote bool
+	write  bool
 }
 
 const (
-	// crossing is a round trip to another data centre.
-	crossing = 2 * time.Millisecond
-	// known is how long a measured time counts.
-	known = 2 * time.Second
+	// remoteRoundTrip is the round trip to another data centre.
+	remoteRoundTrip = 2 * time.Millisecond
+	// latencyLifetime is how long a measured latency is used.
+	latencyLifetime = 2 * time.Second
 )
 
-// run plays for some time.
-func (p *play) run(length time.Duration) {
-	p.rand = rand.New(rand.NewPCG(1, 2)) //nolint:gosec // a fixed seed
-	for _, e := range p.entries {
-		n := len(p.instances)
-		e.took, e.at, e.ahead = make([]time.Duration, n), make([]time.Duration, n), make([]int, n)
-		p.arrive(e)
-		p.order(e)
+// run simulates the given time.
+func (s *simulation) run(length time.Duration) {
+	s.rand = rand.New(rand.NewPCG(1, 2)) //nolint:gosec // a fixed seed
+	for _, e := range s.entries {
+		n := len(s.instances)
+		e.latency, e.measuredAt, e.running = make([]time.Duration, n), make([]time.Duration, n), make([]int, n)
+		s.arrive(e)
+		s.sendWrite(e)
 	}
-	for len(p.next) > 0 && p.next[0].at < length {
-		e, _ := heap.Pop(&p.next).(event)
-		p.now = e.at
+	for len(s.events) > 0 && s.events[0].at < length {
+		e, _ := heap.Pop(&s.events).(event)
+		s.now = e.at
 		e.do()
 	}
 }
 
-func (p *play) after(d time.Duration, do func()) { heap.Push(&p.next, event{p.now + d, do}) }
+func (s *simulation) schedule(d time.Duration, do func()) { heap.Push(&s.events, event{s.now + d, do}) }
 
-func (p *play) arrive(e *entry) {
+func (s *simulation) arrive(e *entryHosts) {
 	rate := e.rate
-	if e.when.has(p.now) {
-		rate *= e.surge
+	if e.surgeTime.contains(s.now) {
+		rate *= e.surgeFactor
 	}
-	p.after(time.Duration(p.rand.ExpFloat64()/rate*float64(time.Second)), func() {
-		p.place(e)
-		p.arrive(e)
+	s.schedule(time.Duration(s.rand.ExpFloat64()/rate*float64(time.Second)), func() {
+		s.sendRead(e)
+		s.arrive(e)
 	})
 }
 
-// order sends an order to the primary, which is the first instance.
-func (p *play) order(e *entry) {
-	if e.orders == 0 {
+// sendWrite sends writes to the primary, which is the first instance.
+func (s *simulation) sendWrite(e *entryHosts) {
+	if e.writes == 0 {
 		return
 	}
-	p.after(time.Duration(p.rand.ExpFloat64()/e.orders*float64(time.Second)), func() {
-		r := &read{from: e, asked: p.now, order: true}
-		e.ahead[0]++
-		p.after(p.way(r)/2, func() { p.begin(r) })
-		p.order(e)
+	s.schedule(time.Duration(s.rand.ExpFloat64()/e.writes*float64(time.Second)), func() {
+		r := &request{from: e, asked: s.now, write: true}
+		e.running[0]++
+		s.schedule(s.roundTrip(r)/2, func() { s.start(r) })
+		s.sendWrite(e)
 	})
 }
 
-// place sends a read the cheapest way.
-func (p *play) place(e *entry) {
-	best, least := 0, time.Duration(-1)
-	for n, i := range p.instances {
-		w := pathcost.Path{
-			Latency: e.took[n], Running: e.ahead[n], Slots: i.slots, Remote: i.centre != e.centre, PrimaryRead: i.leads,
+// sendRead sends a read to the instance with the lowest cost.
+func (s *simulation) sendRead(e *entryHosts) {
+	best, lowest := 0, time.Duration(-1)
+	for n, i := range s.instances {
+		path := pathcost.Path{
+			Latency: e.latency[n], Running: e.running[n], Slots: i.slots, Remote: i.centre != e.centre, PrimaryRead: i.primary,
 		}
-		if p.now-e.at[n] > known {
-			w.Latency = 0
+		if s.now-e.measuredAt[n] > latencyLifetime {
+			path.Latency = 0
 		}
-		if c := w.Cost(p.target); least < 0 || c < least {
-			best, least = n, c
+		if c := path.Cost(s.target); lowest < 0 || c < lowest {
+			best, lowest = n, c
 		}
 	}
-	r := &read{from: e, to: best, asked: p.now}
-	e.ahead[best]++
-	p.after(p.way(r)/2, func() { p.begin(r) })
+	r := &request{from: e, to: best, asked: s.now}
+	e.running[best]++
+	s.schedule(s.roundTrip(r)/2, func() { s.start(r) })
 }
 
-func (p *play) way(r *read) time.Duration {
-	if p.instances[r.to].centre != r.from.centre {
-		return crossing
+func (s *simulation) roundTrip(r *request) time.Duration {
+	if s.instances[r.to].centre != r.from.centre {
+		return remoteRoundTrip
 	}
 	return 0
 }
 
-func (p *play) begin(r *read) {
-	i := p.instances[r.to]
+func (s *simulation) start(r *request) {
+	i := s.instances[r.to]
 	if i.busy >= i.slots {
 		i.queue = append(i.queue, r)
 		return
 	}
 	i.busy++
-	work := time.Duration((0.3 + 1.4*p.rand.Float64()) * float64(i.work))
-	if i.slow.has(p.now) {
+	work := time.Duration((0.3 + 1.4*s.rand.Float64()) * float64(i.work))
+	if i.slow.contains(s.now) {
 		work *= 10
 	}
-	p.after(work, func() {
+	s.schedule(work, func() {
 		i.busy--
-		p.after(p.way(r)/2, func() { p.end(r) })
+		s.schedule(s.roundTrip(r)/2, func() { s.finish(r) })
 		if len(i.queue) > 0 {
 			next := i.queue[0]
 			i.queue = i.queue[1:]
-			p.begin(next)
+			s.start(next)
 		}
 	})
 }
 
-func (p *play) end(r *read) {
-	e, took := r.from, p.now-r.asked
-	e.ahead[r.to]--
-	if e.took[r.to] == 0 {
-		e.took[r.to] = took
+func (s *simulation) finish(r *request) {
+	e, took := r.from, s.now-r.asked
+	e.running[r.to]--
+	if e.latency[r.to] == 0 {
+		e.latency[r.to] = took
 	}
-	e.took[r.to] += (took - e.took[r.to]) / 8
-	e.at[r.to] = p.now
-	p.reads = append(p.reads, outcome{e.centre, r.asked, took, p.instances[r.to].centre != e.centre, r.order})
+	e.latency[r.to] += (took - e.latency[r.to]) / 8
+	e.measuredAt[r.to] = s.now
+	s.outcomes = append(s.outcomes, outcome{e.centre, r.asked, took, s.instances[r.to].centre != e.centre, r.write})
 }
 
-// share returns the part of the reads chosen by one that another holds for.
-func (p *play) share(of, holds func(o outcome) bool) float64 {
-	all, some := 0, 0
-	for _, o := range p.reads {
-		if of(o) {
-			all++
+// share returns which fraction of the outcomes chosen by selected satisfies holds.
+func (s *simulation) share(selected, holds func(o outcome) bool) float64 {
+	total, matching := 0, 0
+	for _, o := range s.outcomes {
+		if selected(o) {
+			total++
 			if holds(o) {
-				some++
+				matching++
 			}
 		}
 	}
-	return float64(some) / float64(max(all, 1))
+	return float64(matching) / float64(max(total, 1))
 }
 
 type event struct {
@@ -198,21 +197,21 @@
 	do func()
 }
 
-// agenda is a heap of events.
-type agenda []event
+// eventQueue is a heap of events.
+type eventQueue []event
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a eventQueue) Len() int           { return len(a) }
+func (a eventQueue) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a eventQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
 
-// Push is heap.Interface's.
-func (a *agenda) Push(x any) {
+// Push implements heap.Interface.
+func (a *eventQueue) Push(x any) {
 	e, _ := x.(event)
 	*a = append(*a, e)
 }
 
-// Pop is heap.Interface's.
-func (a *agenda) Pop() any {
+// Pop implements heap.Interface.
+func (a *eventQueue) Pop() any {
 	last := len(*a) - 1
 	e := (*a)[last]
 	*a = (*a)[:last]
--- a/core/pathcost/pathcost.go
+++ b/core/pathcost/pathcost.go
@@ -1,82 +1,83 @@
-// Package pathcost compares the ways in which an operation can reach an instance: by the time that
-// each makes its caller wait, and by what a caller doesn't feel but the fleet does.
+// Package pathcost compares the paths by which an operation can reach an instance: by the time that
+// the caller waits, and by costs that the caller doesn't notice but the fleet bears.
 //
-// It decides for many callers in several data centres before a few instances, each with some
-// slots: one of them may be slow, full, far away, or the only one that can take writes.
+// Designed for many callers in several data centres and a few instances, each with some slots. An
+// instance may be slow, full, in another data centre, or the only one that can take writes.
 package pathcost
 
 import "time"
 
-// Path is one way to an instance, by what is known of it.
+// Path is what is known of one path to an instance.
 type Path struct {
-	// Latency is how long the instance's statements have taken lately, with their wait there; zero
-	// if none has ended lately.
+	// Latency is the average time of the instance's recent statements, including their wait at the
+	// instance; zero if none has ended recently.
 	Latency time.Duration
-	// Running is how many statements of this host the instance works on, Slots on how many it can
-	// work at a time.
+	// Running is how many statements of this host the instance runs, Slots how many it can run at a
+	// time.
 	Running, Slots int
-	// SetupStatements counts the proxy's own statements that have to go first, Connect is set where a
-	// connection has to be made.
+	// SetupStatements counts the proxy's own statements that have to run before the caller's. Connect
+	// is set if a connection has to be opened.
 	SetupStatements int
 	Connect         bool
 	// Remote is set for an instance in another data centre.
 	Remote bool
-	// PrimaryRead is set where a read that a replica could run would take the primary's time.
+	// PrimaryRead is set for a read at the primary that a replica could run as well.
 	PrimaryRead bool
-	// Silent is set for an instance that can't be reached now.
+	// Silent is set for an instance that is unreachable now.
 	Silent bool
-	// Cold is set where a read that another instance could run would go to one that has just started.
+	// Cold is set for a read at a recently started instance that another instance could run as well.
 	Cold bool
 }
 
 const (
-	// stepCost is a round trip with a question ahead of the caller's statement.
-	stepCost = 2 * time.Millisecond
-	// connectCost is what a new connection takes.
+	// setupStatementCost is the round trip of one statement of the proxy before the caller's.
+	setupStatementCost = 2 * time.Millisecond
+	// connectCost is the time to open a connection.
 	connectCost = 15 * time.Millisecond
-	// farCost is a round trip to another data centre.
-	farCost = 3 * time.Millisecond
-	// leadCost keeps reads away from the primary, which alone can take writes, at least.
-	leadCost = 8 * time.Millisecond
-	// usualWork stands for an instance that has not worked lately.
-	usualWork = 8 * time.Millisecond
-	// coldCost is above the wait at an instance that is warm, and below that at one that can't be
-	// reached.
+	// remoteCost is a round trip to another data centre.
+	remoteCost = 3 * time.Millisecond
+	// primaryReadCost is the minimum cost of a read at the primary, which alone can take writes.
+	primaryReadCost = 8 * time.Millisecond
+	// defaultLatency is assumed for an instance without recent statements.
+	defaultLatency = 8 * time.Millisecond
+	// coldCost is above the wait at a warm instance, and below silentCost, so that a cold instance is
+	// preferred to an unreachable one.
 	coldCost = 400 * time.Millisecond
-	// silentCost is above any wait that is worth it.
+	// silentCost is above any wait that is acceptable at a reachable instance.
 	silentCost = 800 * time.Millisecond
-	// nearPart is the part of its target that a caller waits rather than cross to another data
-	// centre or take the primary's time: too little to be felt.
-	nearPart = 8
+	// targetDivisor sets the fraction of the target, an eighth, that a caller waits for a local replica
+	// rather than use another data centre or the primary. A wait of that length isn't noticed.
+	targetDivisor = 8
 )
 
-// Cost returns how long a way makes its caller wait, and what the fleet would have its caller wait
-// rather than take it. target is the time in which the caller wants its answer, zero if it is
-// unknown.
+// Cost returns the expected wait of the caller on this path, plus the extra wait that is preferable
+// to the path's costs for the fleet. target is the time within which the caller wants its answer,
+// zero if it is unknown.
 //
-// A way to another data centre costs a part of the target, not just its round trip: every
-// statement that crosses takes its bytes along on links that are dear and that fail, and the
-// caller of a report doesn't feel what the caller of an order does. Beyond that part the
-// quicker instance is better, so a near one that is slow or full sends its reads away.
+// A path to another data centre costs a fraction of the target, not just its round trip: each such
+// statement sends its data over links that are expensive and that fail, and the caller of a report
+// doesn't notice a delay that the caller of an order does. Beyond that fraction the faster instance
+// is better, so that reads leave a local instance that is slow or full.
 //
-// A read on the primary costs as much: beside it all reads of its data centre would be its, and
-// the orders of all others stand behind them. Between a primary that is near and replicas that
-// are far the wait decides.
-func (w Path) Cost(target time.Duration) time.Duration {
-	work := w.Latency
-	if work == 0 {
-		work = usualWork
+// A read at the primary costs as much: otherwise all reads of the primary's data centre would run
+// there, and the writes of all data centres would queue behind them. Between a local primary and
+// remote replicas the wait decides.
+func (p Path) Cost(target time.Duration) time.Duration {
+	latency := p.Latency
+	if latency == 0 {
+		latency = defaultLatency
 	}
-	cost := work*time.Duration(1+w.Running)/time.Duration(max(w.Slots, 1)) + time.Duration(w.SetupStatements)*stepCost
-	add := func(on bool, d time.Duration) {
+	cost := latency*time.Duration(1+p.Running)/time.Duration(max(p.Slots, 1)) +
+		time.Duration(p.SetupStatements)*setupStatementCost
+	addIf := func(on bool, d time.Duration) {
 		if on {
 			cost += d
 		}
 	}
-	add(w.Connect, connectCost)
-	add(w.Remote, max(farCost, target/nearPart))
-	add(w.PrimaryRead, max(leadCost, target/nearPart))
-	add(w.Cold, coldCost)
-	add(w.Silent, silentCost)
+	addIf(p.Connect, connectCost)
+	addIf(p.Remote, max(remoteCost, target/targetDivisor))
+	addIf(p.PrimaryRead, max(primaryReadCost, target/targetDivisor))
+	addIf(p.Cold, coldCost)
+	addIf(p.Silent, silentCost)
 	return cost
 }
--- a/core/pathcost/pathcost_test.go
+++ b/core/pathcost/pathcost_test.go
@@ -14,126 +14,129 @@
 	work   = 18 * time.Millisecond
 )
 
-func at(centre string) *instance { return &instance{centre: centre, slots: 3, work: work} }
+func instanceIn(centre string) *instance { return &instance{centre: centre, slots: 3, work: work} }
 
-func callers(centre string, rate float64) *entry { return &entry{centre: centre, rate: rate} }
+func entryHostsIn(centre string, rate float64) *entryHosts {
+	return &entryHosts{centre: centre, rate: rate}
+}
 
-func from(centre string) func(o outcome) bool {
+func fromCentre(centre string) func(o outcome) bool {
 	return func(o outcome) bool { return o.centre == centre }
 }
 
-func everyone(outcome) bool { return true }
+func allOutcomes(outcome) bool { return true }
 
 func inTime(o outcome) bool { return o.took <= target }
 
-func crosses(o outcome) bool { return o.far }
+func isRemote(o outcome) bool { return o.remote }
 
-// Guards against reads that cross to another data centre with all their bytes although there is a
-// replica beside their caller: three data centres with an instance each, one with none.
+// Guards against reads that go to another data centre although there is a local replica: three data
+// centres have one instance each, a fourth has none.
 func TestReadsStayInTheirDataCentre(t *testing.T) {
 	c := qt.New(t)
-	lead := at("a")
-	lead.leads = true
-	p := play{
+	primary := instanceIn("a")
+	primary.primary = true
+	p := simulation{
 		target:    target,
-		entries:   []*entry{callers("a", 30), callers("b", 30), callers("c", 30), callers("d", 30)},
-		instances: []*instance{lead, at("b"), at("c")},
+		entries:   []*entryHosts{entryHostsIn("a", 30), entryHostsIn("b", 30), entryHostsIn("c", 30), entryHostsIn("d", 30)},
+		instances: []*instance{primary, instanceIn("b"), instanceIn("c")},
 	}
 	p.run(30 * time.Second)
 	for _, centre := range []string{"b", "c"} {
-		part := p.share(from(centre), crosses)
+		part := p.share(fromCentre(centre), isRemote)
 		c.Check(part < 0.05, qt.IsTrue, qt.Commentf("%s: %v", centre, part))
 	}
-	// Beside the primary the wait decides between it and the replicas elsewhere.
-	c.Check(p.share(from("a"), crosses) < 0.6, qt.IsTrue)
-	c.Check(p.share(everyone, inTime) > 0.99, qt.IsTrue)
+	// In the primary's data centre the wait decides between the primary and the remote replicas.
+	c.Check(p.share(fromCentre("a"), isRemote) < 0.6, qt.IsTrue)
+	c.Check(p.share(allOutcomes, inTime) > 0.99, qt.IsTrue)
 }
 
-// Guards against the opposite: a near instance that turns slow keeps its callers although others
-// are quick.
-func TestSlowInstanceLosesItsNearCallers(t *testing.T) {
+// Guards against reads that stay at a local instance that has become slow although remote instances
+// are fast.
+func TestReadsLeaveASlowLocalInstance(t *testing.T) {
 	c := qt.New(t)
-	slow := at("a")
-	slow.slow = span{5 * time.Second, 20 * time.Second}
-	p := play{
+	slow := instanceIn("a")
+	slow.slow = interval{5 * time.Second, 20 * time.Second}
+	p := simulation{
 		target:    target,
-		entries:   []*entry{callers("a", 60), callers("b", 60), callers("c", 60)},
-		instances: []*instance{slow, at("b"), at("c")},
+		entries:   []*entryHosts{entryHostsIn("a", 60), entryHostsIn("b", 60), entryHostsIn("c", 60)},
+		instances: []*instance{slow, instanceIn("b"), instanceIn("c")},
 	}
 	p.run(20 * time.Second)
-	late := func(o outcome) bool { return o.centre == "a" && o.asked > 7*time.Second }
-	c.Check(p.share(late, inTime) > 0.9, qt.IsTrue, qt.Commentf("in time: %v", p.share(late, inTime)))
-	c.Check(p.share(from("b"), inTime) > 0.97, qt.IsTrue, qt.Commentf("in time: %v", p.share(from("b"), inTime)))
+	afterSlowdown := func(o outcome) bool { return o.centre == "a" && o.asked > 7*time.Second }
+	c.Check(p.share(afterSlowdown, inTime) > 0.9, qt.IsTrue, qt.Commentf("in time: %v", p.share(afterSlowdown, inTime)))
+	c.Check(p.share(fromCentre("b"), inTime) > 0.97, qt.IsTrue,
+		qt.Commentf("in time: %v", p.share(fromCentre("b"), inTime)))
 }
 
-// Guards against a surge of one data centre's callers that is worked off by its own instance
-// alone: it brings 1.5 times what that can do, while the others have room.
+// Guards against a surge in one data centre that is served by its local instance alone: the surge is
+// 1.5 times what that instance can serve, while the others have free slots.
 func TestSurgeInOneDataCentreUsesTheOthers(t *testing.T) {
 	c := qt.New(t)
-	many := callers("a", 60)
-	many.surge, many.when = 4, span{5 * time.Second, 15 * time.Second}
-	p := play{
+	many := entryHostsIn("a", 60)
+	many.surgeFactor, many.surgeTime = 4, interval{5 * time.Second, 15 * time.Second}
+	p := simulation{
 		target:    target,
-		entries:   []*entry{many, callers("b", 40), callers("c", 40)},
-		instances: []*instance{at("a"), at("b"), at("c")},
+		entries:   []*entryHosts{many, entryHostsIn("b", 40), entryHostsIn("c", 40)},
+		instances: []*instance{instanceIn("a"), instanceIn("b"), instanceIn("c")},
 	}
 	p.run(20 * time.Second)
-	surge := func(o outcome) bool { return o.centre == "a" && many.when.has(o.asked) }
+	surge := func(o outcome) bool { return o.centre == "a" && many.surgeTime.contains(o.asked) }
 	c.Check(p.share(surge, inTime) > 0.97, qt.IsTrue, qt.Commentf("in time: %v", p.share(surge, inTime)))
-	c.Check(p.share(everyone, inTime) > 0.97, qt.IsTrue)
+	c.Check(p.share(allOutcomes, inTime) > 0.97, qt.IsTrue)
 }
 
-// Guards against a policy that works for one shape of a deployment only.
-func TestOtherShapesAreServed(t *testing.T) {
-	for name, p := range map[string]*play{
+// Guards against a policy that works for only one topology of data centres, instances and callers.
+func TestOtherTopologiesMeetTheTarget(t *testing.T) {
+	for name, p := range map[string]*simulation{
 		"all instances in one data centre": {
-			entries:   []*entry{callers("a", 40), callers("b", 40), callers("c", 40)},
-			instances: []*instance{at("a"), at("a"), at("a")},
+			entries:   []*entryHosts{entryHostsIn("a", 40), entryHostsIn("b", 40), entryHostsIn("c", 40)},
+			instances: []*instance{instanceIn("a"), instanceIn("a"), instanceIn("a")},
 		},
 		"two data centres": {
-			entries:   []*entry{callers("a", 100), callers("b", 20)},
-			instances: []*instance{at("a"), at("b"), at("b")},
+			entries:   []*entryHosts{entryHostsIn("a", 100), entryHostsIn("b", 20)},
+			instances: []*instance{instanceIn("a"), instanceIn("b"), instanceIn("b")},
 		},
 		"nearly all callers where there is no instance": {
-			entries:   []*entry{callers("a", 5), callers("b", 5), callers("z", 180)},
-			instances: []*instance{at("a"), at("b"), at("c")},
+			entries:   []*entryHosts{entryHostsIn("a", 5), entryHostsIn("b", 5), entryHostsIn("z", 180)},
+			instances: []*instance{instanceIn("a"), instanceIn("b"), instanceIn("c")},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			p.target = target
 			p.run(20 * time.Second)
-			c.Check(p.share(everyone, inTime) > 0.99, qt.IsTrue, qt.Commentf("in time: %v", p.share(everyone, inTime)))
+			c.Check(p.share(allOutcomes, inTime) > 0.99, qt.IsTrue, qt.Commentf("in time: %v", p.share(allOutcomes, inTime)))
 		})
 	}
 }
 
-// Guards against orders from everywhere that stand behind the reads of the primary's own data
-// centre, while replicas elsewhere have room.
-func TestOrdersDoNotStandBehindTheReadsBesideThePrimary(t *testing.T) {
+// Guards against writes of all data centres that queue behind the reads of the primary's own data
+// centre while remote replicas have free slots.
+func TestWritesDoNotQueueBehindReadsNearThePrimary(t *testing.T) {
 	c := qt.New(t)
-	lead := at("a")
-	lead.leads, lead.slots = true, 2
-	b, other := at("b"), at("c")
+	primary := instanceIn("a")
+	primary.primary, primary.slots = true, 2
+	b, other := instanceIn("b"), instanceIn("c")
 	b.slots, other.slots = 2, 2
-	p := play{
+	p := simulation{
 		target:    target,
-		entries:   []*entry{callers("a", 65), callers("b", 25), callers("c", 25)},
-		instances: []*instance{lead, b, other},
+		entries:   []*entryHosts{entryHostsIn("a", 65), entryHostsIn("b", 25), entryHostsIn("c", 25)},
+		instances: []*instance{primary, b, other},
 	}
 	for _, e := range p.entries {
-		e.orders = 20
+		e.writes = 20
 	}
 	p.run(30 * time.Second)
-	order := func(o outcome) bool { return o.order }
-	// No more than one in four waits for longer than it works.
+	isWrite := func(o outcome) bool { return o.write }
+	// At most one write in four may wait for longer than its statement runs.
 	quick := func(o outcome) bool { return o.took < 2*work }
-	c.Check(p.share(order, quick) > 0.75, qt.IsTrue, qt.Commentf("quick: %v", p.share(order, quick)))
-	c.Check(p.share(everyone, inTime) > 0.99, qt.IsTrue)
+	c.Check(p.share(isWrite, quick) > 0.75, qt.IsTrue, qt.Commentf("quick: %v", p.share(isWrite, quick)))
+	c.Check(p.share(allOutcomes, inTime) > 0.99, qt.IsTrue)
 }
 
-// The primary takes what writes, so a read goes there only where a replica makes its caller wait.
-func TestReadsLeaveThePrimaryAlone(t *testing.T) {
+// Only the primary takes writes, so a read goes there only if the replica has a long wait.
+func TestReadsPreferReplicas(t *testing.T) {
 	c := qt.New(t)
 	primary, replica := pathcost.Path{Slots: 3, PrimaryRead: true}, pathcost.Path{Slots: 3}
 	c.Assert(replica.Cost(target) < primary.Cost(target), qt.IsTrue)
