--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -1,9 +1,9 @@
-// Package exchange types one request of a caller and its answer, on their way
-// from the entry host over a holder to a database instance and back.
+// Package exchange defines the types of one request of a caller and of its answer,
+// as they pass from the entry host through a holder to a database instance and back.
 //
 // An exchange is the smallest unit that the proxy routes: one simple Query, or
-// the messages of the extended protocol up to and with Sync. Its answer is the
-// backend messages up to, and without, ReadyForQuery.
+// the messages of the extended protocol up to and including Sync. Its answer is
+// the backend messages before ReadyForQuery.
 package exchange
 
 import (
@@ -13,69 +13,69 @@
 	"skylarkdeal/core/fleet"
 )
 
-// ID names an exchange. It is unique in the fleet as long as a host that
-// restarts draws a new Epoch.
+// ID identifies an exchange. It is unique in the fleet, provided that a restarted
+// host has a new Epoch.
 type ID struct {
 	Host fleet.Host `json:"host"`
-	// Epoch is drawn at random when the process starts.
+	// Epoch is a random number, generated when the process starts.
 	Epoch uint64 `json:"epoch"`
 	Seq   uint64 `json:"seq"`
 }
 
-// SessionID names a caller's session on its entry host and process.
+// SessionID identifies a caller's session within one process of its entry host.
 type SessionID uint64
 
-// Pin names a transaction's hold on one upstream connection of one holder. The
-// zero Pin means that any connection will do.
+// Pin identifies the transaction to which a holder has reserved one of its upstream
+// connections. With the zero Pin any connection may be used.
 type Pin uint64
 
-// Intent is what the caller has declared an exchange to be.
+// Intent is what the caller has declared that an exchange does.
 type Intent string
 
-// The intents. All that is not declared a read is a write: it goes to the
+// The intents. An exchange that is not declared a read is a write: it goes to the
 // primary and is sent at most once.
 const (
 	IntentWrite Intent = "write"
 	IntentRead  Intent = "read"
 )
 
-// Statement is a prepared statement that the payload refers to by its name. A
-// connection that doesn't have it gets a Parse ahead of the payload.
+// Statement is a prepared statement that the payload refers to by name. On a
+// connection without it, a Parse is sent before the payload.
 type Statement struct {
-	// Name is the same on all hosts for the same text and types.
+	// Name is derived from SQL and Types, so it is the same on all hosts.
 	Name string
 	SQL  string
-	// Types are the OIDs of the parameters that the caller stated.
+	// Types are the OIDs of the parameter types that the caller declared.
 	Types []uint32
 }
 
-// Request is one exchange as its entry host sends it off.
+// Request is one exchange as its entry host sends it.
 type Request struct {
 	ID      ID
 	Service fleet.Service
 	Account fleet.Account
 	Session SessionID
 	Intent  Intent
-	// After is the point that a read has to cover; absent when the caller has
-	// shown no token.
+	// After is the log position that a read has to cover, absent if the caller
+	// has shown no token.
 	After fleet.Option[fleet.LogPosition]
-	// MaxAge is the age of data that the caller accepts; zero when it stated
-	// none.
+	// MaxAge is the age of data that the caller accepts, zero if the caller
+	// stated none.
 	MaxAge   time.Duration
 	Deadline time.Time
-	// Pin is the transaction that this exchange belongs to, on Holder.
+	// Pin is the open transaction on Holder that this exchange belongs to.
 	Pin    Pin
 	Holder fleet.Host
-	// Statements are those that Payload refers to without parsing them itself.
+	// Statements are those that Payload refers to without a Parse of its own.
 	Statements []Statement
-	// Payload is whole frontend messages, ending in Query or Sync.
+	// Payload is complete frontend messages, the last of them Query or Sync.
 	Payload []byte
 }
 
-// Outcome tells what has become of an exchange.
+// Outcome says whether an exchange has run.
 type Outcome string
 
-// The outcomes. OutcomeNotRun is a promise: no instance has run, or will run,
+// The outcomes. OutcomeNotRun guarantees that no instance has run, or will run,
 // any part of the exchange.
 const (
 	OutcomeDone    Outcome = "done"
@@ -93,48 +93,49 @@
 	TxFailed TxStatus = 'E'
 )
 
-// Result ends an exchange.
+// Result is the end of an exchange.
 type Result struct {
 	Outcome Outcome
-	// Status is the transaction's state after the exchange, TxIdle if the zero
-	// value is left.
+	// Status is the transaction's state after the exchange. The zero value stands
+	// for TxIdle.
 	Status TxStatus
-	// Position is what the answer reflects: the caller's new token is the greater
-	// of this and the one it had. Zero when nothing was learnt.
+	// Position is the log position that the answer reflects. The caller's new token
+	// is the later of Position and its previous token. Zero if the position is unknown.
 	Position fleet.LogPosition
 	Instance fleet.Instance
 	Role     fleet.Role
-	// Pin and Holder are set while a transaction stays open.
+	// Pin and Holder are set if a transaction is still open.
 	Pin    Pin
 	Holder fleet.Host
-	// Refusal says why, unless Outcome is OutcomeDone. A database's own error
-	// is part of an answer that is done.
+	// Refusal is the reason, unless Outcome is OutcomeDone. An error of the database
+	// itself is part of the answer, with OutcomeDone.
 	Refusal *failure.Refusal
 }
 
-// Reply is the way back to the caller of one exchange. Send may be called any
-// number of times, then Done once; never two calls at a time.
+// Reply returns the answer of one exchange to the caller. Send may be called any
+// number of times, then Done once. Calls must not be concurrent.
 type Reply struct {
-	// Send passes on whole backend messages. It blocks while the caller has
-	// too much unread and returns an error when the caller has gone or won't
-	// read; the sender then stops and cancels. b is the callee's until return.
+	// Send forwards complete backend messages. It blocks while the caller has too
+	// much unread data, and returns an error if the caller has disconnected or has
+	// stopped reading; the sender then stops and cancels the exchange. Send owns b
+	// until it returns, and doesn't keep it.
 	Send func(b []byte) error
 	Done func(r Result)
 }
 
-// Refuse ends the exchange with nothing run.
-func (r Reply) Refuse(f *failure.Refusal) {
-	r.Done(Result{Outcome: OutcomeNotRun, Status: TxIdle, Refusal: f})
+// Refuse ends the exchange with OutcomeNotRun.
+func (r Reply) Refuse(refusal *failure.Refusal) {
+	r.Done(Result{Outcome: OutcomeNotRun, Status: TxIdle, Refusal: refusal})
 }
 
-// Runner is what runs exchanges: a holder in this process, or the way to one on
-// another host. Run returns at once and answers by reply.
+// Runner runs exchanges, on a holder in this process or on one of another host. Run
+// returns at once and answers through reply.
 type Runner struct {
 	Run func(q *Request, reply Reply)
-	// Cancel asks for the end of an exchange in progress; its answer still
-	// comes by its reply.
+	// Cancel requests the end of an exchange in progress. The answer still comes
+	// through the exchange's reply.
 	Cancel func(id ID)
-	// Release gives up an open transaction: its connection is closed or rolled
-	// back.
+	// Release abandons an open transaction: its connection is closed or the
+	// transaction rolled back.
 	Release func(h fleet.Host, p Pin)
 }
--- a/core/statement/statement.go
+++ b/core/statement/statement.go
@@ -1,5 +1,6 @@
-// Package statement types what a caller asks and what an instance answers, in the
-// words of the product: the wires translate to and from it.
+// Package statement defines the types of callers' statements and of the instances'
+// answers, independent of the wire protocol. The protocol packages translate to and
+// from them.
 package statement
 
 import (
@@ -8,8 +9,8 @@
 	"skylarkdeal/core/fleet"
 )
 
-// ID is the name that a caller gave one statement. The zero ID marks a statement
-// of the proxy's own.
+// ID is the identifier that a caller gave a statement. The zero ID marks one of the
+// proxy's own statements.
 type ID string
 
 // Kind is what a statement does.
@@ -28,44 +29,45 @@
 	KindExecute    Kind = "execute"
 	KindDeallocate Kind = "deallocate"
 
-	// KindDiscard drops the values and the prepared statements of a connection.
+	// KindDiscard resets the set values and the prepared statements of a connection.
 	KindDiscard Kind = "discard"
-	// KindStatus asks an instance for its role, term and position.
+	// KindStatus asks an instance for its role, term and log position.
 	KindStatus Kind = "status"
-	// KindStepDown makes a primary of a term below Term a replica.
+	// KindStepDown turns a primary of a term below Term into a replica.
 	KindStepDown Kind = "step-down"
 )
 
-// Definition is what a prepared statement does: two with equal shapes are the same.
+// Definition is the definition of a prepared statement. Prepared statements with
+// equal definitions are the same.
 type Definition struct {
 	Writes bool
 	Text   string
 }
 
-// Statement is one statement.
+// Statement is one statement of a caller or of the proxy.
 type Statement struct {
 	ID   ID
 	Kind Kind
-	// Name is that of a value (KindSet) or of a prepared statement.
+	// Name is the name of a value (KindSet) or of a prepared statement.
 	Name string
-	// Value is the new value of a KindSet.
+	// Value is the new value, for KindSet.
 	Value string
-	// Definition is that of a KindPrepare.
+	// Definition is set for KindPrepare.
 	Definition Definition
-	// Text is what follows the kind of a read or write, or the name of an execute,
-	// as the caller sent it.
+	// Text is the rest of a read or write after its kind, or of an execute after
+	// its name, as the caller sent it.
 	Text string
-	// After is the point that the instance's log has to cover for a read or the
-	// begin of a transaction; else it refuses to run it.
+	// After is the log position that the instance's log has to cover to run a read
+	// or to begin a transaction. Otherwise the instance refuses the statement.
 	After fleet.Option[fleet.LogPosition]
-	// Term is that of a KindStepDown.
+	// Term is set for KindStepDown.
 	Term fleet.Term
 }
 
-// Code says why a statement has failed.
+// Code is the reason why a statement has failed.
 type Code string
 
-// The codes. NotRun tells which of them promise that nothing is kept.
+// The codes. NotRun returns which of them guarantee that the statement has not run.
 const (
 	CodeNone        Code = ""
 	CodeBusy        Code = "busy"
@@ -81,9 +83,9 @@
 	CodeMalformed   Code = "malformed"
 	CodeNoDatabase  Code = "no-database"
 	CodeNoAccount   Code = "no-account"
-	// CodeUnreachable is another host's word that it can't reach an instance.
+	// CodeUnreachable is reported by another host that can't reach an instance.
 	CodeUnreachable Code = "unreachable"
-	// CodeOther stands for one that the wire doesn't know.
+	// CodeOther stands for a code that the wire protocol doesn't define.
 	CodeOther Code = "other"
 )
 
@@ -108,23 +110,23 @@
 	TxFailed TxState = "failed"
 )
 
-// Answer ends one statement.
+// Answer is an instance's answer to one statement.
 type Answer struct {
-	// Rows are whole rows as they came.
+	// Rows are complete rows, as received.
 	Rows []string
-	// Digest is the instance's proof of what it ran, empty when it gave none.
+	// Digest is the instance's evidence of what it ran, empty if it sent none.
 	Digest string
-	// Code and Detail are set when the statement has failed.
+	// Code and Detail are set if the statement has failed.
 	Code   Code
 	Detail string
-	// RetryAfter is when the caller had best come back; zero gives no hint.
+	// RetryAfter is how long the caller should wait before a retry; zero gives no hint.
 	RetryAfter time.Duration
 	State      TxState
-	// Position is how far the instance's log reached.
+	// Position is the end of the instance's log at the time of the answer.
 	Position fleet.Option[fleet.LogPosition]
 }
 
-// Status is what an instance says of itself when it is asked.
+// Status is an instance's answer to KindStatus.
 type Status struct {
 	Role fleet.Role
 	Term fleet.Term
