--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -15,7 +15,7 @@
 	// Output: true true false
 }
 
-// Guards against an evacuation that is undone by a reading which was begun before it.
+// Guards against an evacuation that is undone by a read of the configuration that began before it.
 func TestOlderCatalogNeverReplacesANewerOne(t *testing.T) {
 	c := qt.New(t)
 	at := func(v catalog.Version, r catalog.Revision) *catalog.Catalog {
