--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet names the things that the whole system talks about: hosts,
-// data centres, client accounts, services, database instances, and the terms
-// and log positions of their groups.
+// Package fleet defines the basic types of the whole system: the names of hosts,
+// data centres, client accounts, services and database instances, and the terms
+// and log positions of database groups.
 package fleet
 
 import (
@@ -10,37 +10,37 @@
 	"strings"
 )
 
-// Host is the name of one entry host of the system, unique in the fleet.
+// Host is the name of an entry host, unique in the fleet.
 type Host string
 
-// Capacity is what a host can carry, in processor cores; zero if it isn't known.
+// Capacity is the processing capacity of a host in cores; zero if it isn't known.
 type Capacity float64
 
 // DataCentre is the name of a data centre.
 type DataCentre string
 
-// Region is the name of a group of data centres under one law.
+// Region is the name of a group of data centres under the same law.
 type Region string
 
 // Account is the name of a client account, unique within its service.
 type Account string
 
-// Service is the name of a service. A service owns one document and one
-// database group, so it names the group too.
+// Service is the name of a service. A service has one document and one database
+// group, so the name identifies the group as well.
 type Service string
 
 // Instance is the name of a database instance, unique within its group.
 type Instance string
 
-// Term counts the primaries of a group: each promotion raises it.
+// Term numbers the primaries of a group: each promotion increases it.
 type Term uint64
 
-// LogIndex is an offset in a group's log, in log entries.
+// LogIndex is the index of an entry in a group's log.
 type LogIndex uint64
 
-// LogPosition is a place in the history of a group. Points are ordered by term, then
-// by position: a promotion appends an entry in its own term, so a log that has
-// an entry of a later term holds every acknowledged entry of the earlier ones.
+// LogPosition is a position in the log of a group. Positions are ordered by term, then
+// by index: a promotion appends an entry in its own term, so a log that has an entry
+// of a later term holds every acknowledged entry of the earlier terms.
 type LogPosition struct {
 	Term  Term     `json:"term"`
 	Index LogIndex `json:"position"`
@@ -64,12 +64,12 @@
 	return p == LogPosition{}
 }
 
-// String returns the form that callers see, "term.position".
+// String returns p in the form that callers see, "term.position".
 func (p LogPosition) String() string {
 	return fmt.Sprintf("%d.%d", p.Term, p.Index)
 }
 
-// ParseLogPosition reads the form that String writes.
+// ParseLogPosition parses the form that String returns.
 func ParseLogPosition(s string) (LogPosition, error) {
 	term, position, ok := strings.Cut(s, ".")
 	if !ok {
@@ -99,9 +99,9 @@
 type Member struct {
 	Host       Host       `json:"host"`
 	DataCentre DataCentre `json:"data-centre"`
-	// Peer is the IP address and port of the inner protocol.
+	// Peer is the IP address and port for the protocol between hosts.
 	Peer string `json:"peer"`
-	// Leaving is set when the host has announced its shutdown or stands on the
-	// platform's list of leaving hosts.
+	// Leaving is set if the host has announced its shutdown or is on the platform's
+	// list of leaving hosts.
 	Leaving bool `json:"leaving"`
 }
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -18,7 +18,7 @@
 	// Output: false true
 }
 
-func TestPointTextRoundTrip(t *testing.T) {
+func TestLogPositionTextRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := fleet.LogPosition{
 			Term:  fleet.Term(rapid.Uint64().Draw(t, "term")),
@@ -26,12 +26,12 @@
 		}
 		got, err := fleet.ParseLogPosition(p.String())
 		if err != nil || got != p {
-			t.Fatalf("ParsePoint(%q) = %v, %v", p, got, err)
+			t.Fatalf("ParseLogPosition(%q) = %v, %v", p, got, err)
 		}
 	})
 }
 
-func TestParsePointRefusesOtherText(t *testing.T) {
+func TestParseLogPositionRejectsMalformedText(t *testing.T) {
 	c := qt.New(t)
 	for _, s := range []string{"", "3", "a.1", "1.b", "-1.2", "1.2.3", "1. 2"} {
 		_, err := fleet.ParseLogPosition(s)
--- a/core/fleet/set.go
+++ b/core/fleet/set.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Set is a set of small values. The zero Set can be read, not added to; NewSet
-// makes one that can.
+// Set is a set of ordered values. The zero Set is empty and can't be added to; use
+// NewSet instead.
 type Set[T cmp.Ordered] map[T]struct{}
 
-// NewSet returns a Set of v.
+// NewSet returns a Set that contains v and can be added to.
 func NewSet[T cmp.Ordered](v ...T) Set[T] {
 	s := make(Set[T], len(v))
 	for _, e := range v {
@@ -19,7 +19,7 @@
 	return s
 }
 
-// Add puts v into s.
+// Add adds v to s.
 func (s Set[T]) Add(v T) {
 	s[v] = struct{}{}
 }
@@ -46,7 +46,7 @@
 	return Option[T]{value: v, set: true}
 }
 
-// Get returns the value and whether there is one.
+// Get returns the value, and false if there is none.
 func (o Option[T]) Get() (T, bool) {
 	return o.value, o.set
 }
