--- a/core/failure/failure.go
+++ b/core/failure/failure.go
@@ -1,6 +1,6 @@
-// Package failure types the errors of the system: every one carries the step
-// and the peer at which it arose, and those that reach a caller carry a
-// SQLSTATE and, when refused, a time after which to come back.
+// Package failure defines the error types of the system. Each error carries the step
+// and the peer at which it occurred. Those that reach a caller carry a SQLSTATE and,
+// for a refused request, a time after which to retry.
 package failure
 
 import (
@@ -10,17 +10,17 @@
 	"github.com/joomcode/errorx"
 )
 
-// Step is what was being done when an error arose, such as "startup".
+// Step is the operation in which an error occurred, such as "startup".
 type Step string
 
-// Peer is whom it was done with, such as "instance b" or "host obihiro-2".
+// Peer is the other side of the operation, such as "instance b" or "host obihiro-2".
 type Peer string
 
-// Code is a SQLSTATE, the five characters that PostgreSQL drivers act on.
+// Code is a SQLSTATE, the five-character error code that PostgreSQL drivers evaluate.
 type Code string
 
-// The SQLSTATEs that the proxy itself gives. Codes of class 53 are given only
-// when nothing was run, CodeUnknownOutcome whenever something may have been.
+// The SQLSTATEs that the proxy itself returns. Codes of class 53 are returned only if
+// nothing has run, CodeUnknownOutcome whenever something may have run.
 const (
 	CodeTooManySessions  Code = "53300"
 	CodeOverRate         Code = "53400"
@@ -42,22 +42,22 @@
 	CodeInternal         Code = "XX000"
 )
 
-// Refusal is an answer to a caller in place of a result.
+// Refusal is the answer to a caller whose request isn't served.
 type Refusal struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// RetryAfter is how long to wait before asking again; zero gives no hint.
+	// RetryAfter is how long the caller should wait before a retry; zero gives no hint.
 	RetryAfter time.Duration `json:"retry-after"`
 	Step       Step          `json:"step"`
 	Peer       Peer          `json:"peer"`
 }
 
-// Error returns the message, so that a Refusal can travel as an error.
+// Error returns the code and the message. It makes a Refusal an error.
 func (r *Refusal) Error() string {
 	return string(r.Code) + ": " + r.Message
 }
 
-// AsRefusal returns the Refusal in err's chain, or one with CodeInternal.
+// AsRefusal returns the Refusal in err's chain, or a new one with CodeInternal.
 func AsRefusal(err error) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
@@ -68,19 +68,19 @@
 }
 
 var (
-	located = errorx.NewNamespace("skylarkdeal").NewType("located").
-		ApplyModifiers(errorx.TypeModifierOmitStackTrace)
+	locatedError = errorx.NewNamespace("skylarkdeal").NewType("located").
+			ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 	stepProperty = errorx.RegisterPrintableProperty("step")
 	peerProperty = errorx.RegisterPrintableProperty("peer")
 )
 
-// Error is an error with the step and the peer at which it arose. It adds to
-// errorx, which has no Unwrap, what errors.Is and errors.As need.
+// Error is an error with the step and the peer at which it occurred. It adds the
+// Unwrap that errors.Is and errors.As need and that errorx lacks.
 type Error struct {
 	x *errorx.Error
 }
 
-// Error returns the steps and peers from the outermost inwards, then the cause.
+// Error returns the steps and peers, the outermost first, and then the cause.
 func (e *Error) Error() string {
 	return e.x.Message() + ": " + e.x.Cause().Error()
 }
@@ -90,13 +90,13 @@
 	return e.x.Cause()
 }
 
-// At returns err with the step and the peer at which it arose, or nil when err
-// is nil. The innermost step and peer stay the ones that Where returns.
+// At returns err with the step and the peer at which it occurred, or nil if err is
+// nil. If err has a step and a peer already, Where still returns those.
 func At(err error, step Step, peer Peer) error {
 	if err == nil {
 		return nil
 	}
-	x := located.Wrap(err, "%s with %s", step, peer).
+	x := locatedError.Wrap(err, "%s with %s", step, peer).
 		WithProperty(stepProperty, step).
 		WithProperty(peerProperty, peer)
 	return &Error{x: x}
@@ -108,13 +108,13 @@
 	var peer Peer
 	var e *Error
 	for errors.As(err, &e) {
-		step, peer = e.at()
+		step, peer = e.location()
 		err = e.Unwrap()
 	}
 	return step, peer
 }
 
-func (e *Error) at() (Step, Peer) {
+func (e *Error) location() (Step, Peer) {
 	var step Step
 	var peer Peer
 	if v, ok := e.x.Property(stepProperty); ok {
