--- a/core/journal/journal.go
+++ b/core/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal keeps the recent decisions of a host with their reasons, for
-// the state dump: why a request was refused, who was promoted and why.
+// Package journal keeps a host's recent decisions with their reasons for the state
+// dump: why a request was refused, which instance was promoted and why.
 package journal
 
 import (
@@ -8,7 +8,7 @@
 	"skylarkdeal/core/ring"
 )
 
-// Kind is the matter that a decision belongs to.
+// Kind is the subject area of a decision.
 type Kind string
 
 // The kinds of decisions.
@@ -22,26 +22,26 @@
 	KindSession  Kind = "session"
 )
 
-// Decision is one thing that a host decided.
+// Decision is one decision of a host.
 type Decision struct {
 	At time.Time `json:"at"`
-	// Kind is the matter that the decision belongs to.
+	// Kind is the subject area of the decision.
 	Kind Kind `json:"kind"`
-	// Subject is what was decided on, such as "service=orders account=hotel".
+	// Subject is what the decision is about, such as "service=orders account=hotel".
 	Subject string `json:"subject"`
 	// Choice is what was decided, such as "refuse" or "promote b".
 	Choice string `json:"choice"`
-	// Reason says why, in words for an operator.
+	// Reason explains the decision to an operator.
 	Reason string `json:"reason"`
 }
 
-// Journal is a bounded record of decisions, safe for concurrent use. The zero
-// Journal works.
+// Journal is a bounded list of recent decisions, safe for concurrent use. The zero
+// Journal is ready to use.
 type Journal struct {
 	recent ring.Recent[Decision]
 }
 
-// Add records d in place of the oldest decision once the journal is full. A nil
+// Add records d. Once the journal is full, d replaces the oldest decision. A nil
 // Journal records nothing.
 func (j *Journal) Add(d Decision) {
 	if j == nil {
