--- a/core/pathcost/fleet_test.go
+++ b/core/pathcost/fleet_test.go
@@ -15,10 +15,10 @@
 
 // instance is a simulated database instance.
 type instance struct {
-	centre  string
-	slots   int
-	work    time.Duration
-	primary bool
+	centre        string
+	slots         int
+	statementTime time.Duration
+	primary       bool
 	// slow is when the instance's statements take ten times as long.
 	slow interval
 
@@ -43,10 +43,10 @@
 
 // request is a simulated read or write in progress.
 type request struct {
-	from  *entryHosts
-	to    int
-	asked time.Duration
-	write bool
+	from   *entryHosts
+	to     int
+	sentAt time.Duration
+	write  bool
 }
 
 // simulation runs a fleet and its load in virtual time.
@@ -64,7 +64,7 @@
 // outcome records one answered request.
 type outcome struct {
 	centre string
-	asked  time.Duration
+	sentAt time.Duration
 	took   time.Duration
 	remote bool
 	write  bool
@@ -112,7 +112,7 @@
 		return
 	}
 	s.schedule(time.Duration(s.rand.ExpFloat64()/e.writes*float64(time.Second)), func() {
-		r := &request{from: e, asked: s.now, write: true}
+		r := &request{from: e, sentAt: s.now, write: true}
 		e.running[0]++
 		s.schedule(s.roundTrip(r)/2, func() { s.start(r) })
 		s.sendWrite(e)
@@ -133,7 +133,7 @@
 			best, lowest = n, c
 		}
 	}
-	r := &request{from: e, to: best, asked: s.now}
+	r := &request{from: e, to: best, sentAt: s.now}
 	e.running[best]++
 	s.schedule(s.roundTrip(r)/2, func() { s.start(r) })
 }
@@ -152,7 +152,7 @@
 		return
 	}
 	i.busy++
-	work := time.Duration((0.3 + 1.4*s.rand.Float64()) * float64(i.work))
+	work := time.Duration((0.3 + 1.4*s.rand.Float64()) * float64(i.statementTime))
 	if i.slow.contains(s.now) {
 		work *= 10
 	}
@@ -168,14 +168,14 @@
 }
 
 func (s *simulation) finish(r *request) {
-	e, took := r.from, s.now-r.asked
+	e, took := r.from, s.now-r.sentAt
 	e.running[r.to]--
 	if e.latency[r.to] == 0 {
 		e.latency[r.to] = took
 	}
 	e.latency[r.to] += (took - e.latency[r.to]) / 8
 	e.measuredAt[r.to] = s.now
-	s.outcomes = append(s.outcomes, outcome{e.centre, r.asked, took, s.instances[r.to].centre != e.centre, r.write})
+	s.outcomes = append(s.outcomes, outcome{e.centre, r.sentAt, took, s.instances[r.to].centre != e.centre, r.write})
 }
 
 // share returns which fraction of the outcomes chosen by selected satisfies holds.
--- a/core/pathcost/pathcost_test.go
+++ b/core/pathcost/pathcost_test.go
@@ -14,7 +14,9 @@
 	work   = 18 * time.Millisecond
 )
 
-func instanceIn(centre string) *instance { return &instance{centre: centre, slots: 3, work: work} }
+func instanceIn(centre string) *instance {
+	return &instance{centre: centre, slots: 3, statementTime: work}
+}
 
 func entryHostsIn(centre string, rate float64) *entryHosts {
 	return &entryHosts{centre: centre, rate: rate}
@@ -63,7 +65,7 @@
 		instances: []*instance{slow, instanceIn("b"), instanceIn("c")},
 	}
 	p.run(20 * time.Second)
-	afterSlowdown := func(o outcome) bool { return o.centre == "a" && o.asked > 7*time.Second }
+	afterSlowdown := func(o outcome) bool { return o.centre == "a" && o.sentAt > 7*time.Second }
 	c.Check(p.share(afterSlowdown, inTime) > 0.9, qt.IsTrue, qt.Commentf("in time: %v", p.share(afterSlowdown, inTime)))
 	c.Check(p.share(fromCentre("b"), inTime) > 0.97, qt.IsTrue,
 		qt.Commentf("in time: %v", p.share(fromCentre("b"), inTime)))
@@ -81,7 +83,7 @@
 		instances: []*instance{instanceIn("a"), instanceIn("b"), instanceIn("c")},
 	}
 	p.run(20 * time.Second)
-	surge := func(o outcome) bool { return o.centre == "a" && many.surgeTime.contains(o.asked) }
+	surge := func(o outcome) bool { return o.centre == "a" && many.surgeTime.contains(o.sentAt) }
 	c.Check(p.share(surge, inTime) > 0.97, qt.IsTrue, qt.Commentf("in time: %v", p.share(surge, inTime)))
 	c.Check(p.share(allOutcomes, inTime) > 0.97, qt.IsTrue)
 }
--- a/core/place/choose.go
+++ b/core/place/choose.go
@@ -52,9 +52,9 @@
 	// ActionWait leaves the request in the queue until a slot is free, the group's
 	// snapshot changes or Choice.Until is reached.
 	ActionWait Action = "wait"
-	// ActionProve first obtains a current log position; Choose is then called
-	// again with that position in RequestInfo.Need.
-	ActionProve Action = "prove"
+	// ActionResolve first obtains a current log position and resolves
+	// RequestInfo.Need with it; Choose is then called again.
+	ActionResolve Action = "prove"
 )
 
 // Choice is where a request runs, or what it waits for.
@@ -80,7 +80,7 @@
 		return chooseForWrite(now, request, snapshot, loads)
 	}
 	if request.Need.Latest() {
-		return Choice{Action: ActionProve, Reason: "the read shows no token"}
+		return Choice{Action: ActionResolve, Reason: "the read shows no token"}
 	}
 	o, ok := bestCandidate(now, request, snapshot, loads)
 	if !ok {
@@ -105,7 +105,7 @@
 
 func chooseForWrite(now time.Time, request RequestInfo, snapshot group.Snapshot, loads Loads) Choice {
 	s, ok := snapshot.Find(snapshot.Primary)
-	switch u := loads.Instances[snapshot.Primary]; {
+	switch load := loads.Instances[snapshot.Primary]; {
 	case !ok:
 		return Choice{Action: ActionWait, Reason: "no primary is known"}
 	case s.Silent(now) > silenceLimit:
@@ -116,7 +116,7 @@
 		return Choice{Action: ActionWait, Instance: snapshot.Primary, Reason: "no majority of the instances responds"}
 	case s.Instance.Leaving && snapshot.CanHandOver(now):
 		return Choice{Action: ActionWait, Instance: snapshot.Primary, Reason: "the primary is leaving"}
-	case !hasSlot(u, request.Long, loads.Waiting):
+	case !hasSlot(load, request.Long, loads.Waiting):
 		return Choice{Action: ActionWait, Instance: snapshot.Primary, Reason: "the primary's slots are taken"}
 	}
 	return Choice{Action: ActionRun, Instance: snapshot.Primary, Role: fleet.RolePrimary}
@@ -124,14 +124,14 @@
 
 // hasSlot reports whether another statement may start. A long statement leaves one
 // slot free; where there is only one slot, it starts only if no other request waits.
-func hasSlot(u Load, long bool, waiting int) bool {
+func hasSlot(load Load, long bool, waiting int) bool {
 	switch {
 	case !long:
-		return u.Free() > 0
-	case u.Slots <= 1:
-		return u.Free() > 0 && waiting <= 1
+		return load.Free() > 0
+	case load.Slots <= 1:
+		return load.Free() > 0 && waiting <= 1
 	}
-	return u.Free() > 1
+	return load.Free() > 1
 }
 
 // candidate is an instance that may serve a read.
@@ -152,14 +152,14 @@
 const primaryPenalty = 25 * time.Millisecond
 
 func bestCandidate(now time.Time, request RequestInfo, snapshot group.Snapshot, loads Loads) (candidate, bool) {
-	var out candidate
+	var best candidate
 	for _, s := range snapshot.Observations {
 		o, ok := evaluate(now, request, snapshot, loads, s)
-		if ok && (out.instance == "" || o.expected < out.expected) {
-			out = o
+		if ok && (best.instance == "" || o.expected < best.expected) {
+			best = o
 		}
 	}
-	return out, out.instance != ""
+	return best, best.instance != ""
 }
 
 // evaluate estimates when the observed instance would answer a read. It returns
@@ -172,21 +172,21 @@
 		return candidate{}, false
 	}
 	o := candidate{instance: n, role: fleet.RoleReplica}
-	u := loads.Instances[n]
-	each := max(u.Latency.Read(now), minLatency)
+	load := loads.Instances[n]
+	latency := max(load.Latency.Read(now), minLatency)
 	if n == snapshot.Primary {
 		if !primarySatisfies(now, request, snapshot, s) {
 			return candidate{}, false
 		}
 		o.role = fleet.RolePrimary
-		o.expected = primaryPenalty + each*time.Duration(loads.Waiting)/time.Duration(max(1, u.Slots))
+		o.expected = primaryPenalty + latency*time.Duration(loads.Waiting)/time.Duration(max(1, load.Slots))
 	} else if s.Status.Role != fleet.RoleReplica || !o.setReplicaWait(now, request, snapshot, s) {
 		return candidate{}, false
 	}
-	if !hasSlot(u, request.Long, loads.Waiting) && o.wait < each {
-		o.wait, o.reason = each, "the slots of the instance are taken"
+	if !hasSlot(load, request.Long, loads.Waiting) && o.wait < latency {
+		o.wait, o.reason = latency, "the slots of the instance are taken"
 	}
-	o.expected += o.wait + each*time.Duration(1+u.Busy)/time.Duration(max(1, u.Slots))
+	o.expected += o.wait + latency*time.Duration(1+load.Busy)/time.Duration(max(1, load.Slots))
 	return o, true
 }
 
--- a/core/place/choose_test.go
+++ b/core/place/choose_test.go
@@ -45,12 +45,12 @@
 func TestReadsShiftFromASlowReplicaAndBack(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(browsingWorkload)
-	s.work["b"] = 100 * time.Millisecond
+	s.statementTime["b"] = 100 * time.Millisecond
 	s.run(10 * time.Second)
 	c.Assert(s.outcome("aged").p99 < 110*time.Millisecond, qt.IsTrue, qt.Commentf("%+v", s.outcome("aged")))
 	slow := readShare(s.ended, "b")
 	c.Assert(slow > 0 && slow < 0.05, qt.IsTrue, qt.Commentf("%v of the reads went to the slow replica", slow))
-	s.work["b"] = 2 * time.Millisecond
+	s.statementTime["b"] = 2 * time.Millisecond
 	s.run(30 * time.Second)
 	from := len(s.ended)
 	s.run(10 * time.Second)
@@ -127,8 +127,8 @@
 	s.run(5 * time.Second)
 	for _, r := range s.ended {
 		after, ok := r.info.Need.After.Get()
-		if ok && !r.reads.Covers(after) && r.choice.Role == fleet.RoleReplica {
-			c.Fatalf("read after %v started at %v", after, r.reads)
+		if ok && !r.position.Covers(after) && r.choice.Role == fleet.RoleReplica {
+			c.Fatalf("read after %v started at %v", after, r.position)
 		}
 	}
 }
--- a/core/place/cutoff_test.go
+++ b/core/place/cutoff_test.go
@@ -19,7 +19,7 @@
 	left := fleet.NewSet(reached...)
 	for range 40 {
 		s.now = s.now.Add(50 * time.Millisecond)
-		for _, n := range names {
+		for _, n := range instanceNames {
 			s.group.StatusRequested(n, s.now)
 			if left.Has(n) {
 				r, f := fleet.RoleReplica, fleet.Instance("a")
--- a/core/place/rules_test.go
+++ b/core/place/rules_test.go
@@ -16,7 +16,7 @@
 func newObservedSim() *sim {
 	s := newSim(browsingWorkload)
 	s.configure()
-	s.ask()
+	s.updateStatuses()
 	return s
 }
 
@@ -39,7 +39,7 @@
 func TestChooseSkipsSilentInstances(t *testing.T) {
 	c := qt.New(t)
 	s := newObservedSim()
-	for _, n := range names {
+	for _, n := range instanceNames {
 		s.group.StatusRequested(n, s.now)
 	}
 	s.now = s.now.Add(200 * time.Millisecond)
@@ -102,7 +102,7 @@
 	s.lag = time.Hour
 	s.log = append(s.log, s.now)
 	s.now = s.now.Add(time.Millisecond)
-	s.ask()
+	s.updateStatuses()
 	s.busy["a"] = 2
 	f := place.RequestInfo{Intent: exchange.IntentRead, Need: session.Need{MaxAge: time.Millisecond}}
 	c.Assert(s.choose(f).Instance, qt.Equals, fleet.Instance("a"))
--- a/core/place/sim_test.go
+++ b/core/place/sim_test.go
@@ -32,11 +32,11 @@
 // sim runs a workload against three instances in virtual time. All requests wait
 // in one queue until Choose returns ActionRun.
 type sim struct {
-	load    workload
-	lag     time.Duration
-	work    map[fleet.Instance]time.Duration
-	slots   int
-	leaving map[fleet.Instance]bool
+	workload      workload
+	lag           time.Duration
+	statementTime map[fleet.Instance]time.Duration
+	slots         int
+	leaving       map[fleet.Instance]bool
 
 	rand      *rand.Rand
 	now       time.Time
@@ -50,37 +50,37 @@
 }
 
 type request struct {
-	info    place.RequestInfo
-	arrived time.Time
-	started time.Time
-	ends    time.Time
-	choice  place.Choice
-	reads   fleet.LogPosition
-	class   string
+	info     place.RequestInfo
+	arrived  time.Time
+	started  time.Time
+	ends     time.Time
+	choice   place.Choice
+	position fleet.LogPosition
+	class    string
 }
 
 func newSim(l workload) *sim {
 	s := &sim{
-		load: l, lag: time.Millisecond, slots: 2,
-		work:      make(map[fleet.Instance]time.Duration),
-		leaving:   make(map[fleet.Instance]bool),
-		rand:      rand.New(rand.NewPCG(1, 2)),
-		now:       time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC),
-		busy:      make(map[fleet.Instance]int),
-		latencies: make(map[fleet.Instance]place.LatencyAverage),
+		workload: l, lag: time.Millisecond, slots: 2,
+		statementTime: make(map[fleet.Instance]time.Duration),
+		leaving:       make(map[fleet.Instance]bool),
+		rand:          rand.New(rand.NewPCG(1, 2)),
+		now:           time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC),
+		busy:          make(map[fleet.Instance]int),
+		latencies:     make(map[fleet.Instance]place.LatencyAverage),
 	}
-	for _, n := range names {
-		s.work[n] = 2 * time.Millisecond
+	for _, n := range instanceNames {
+		s.statementTime[n] = 2 * time.Millisecond
 	}
 	s.log = append(s.log, s.now.Add(-time.Minute))
 	return s
 }
 
-var names = []fleet.Instance{"a", "b", "c"}
+var instanceNames = []fleet.Instance{"a", "b", "c"}
 
 func (s *sim) configure() {
 	var d []document.Instance
-	for _, n := range names {
+	for _, n := range instanceNames {
 		d = append(d, document.Instance{Name: n, Slots: s.slots, Leaving: s.leaving[n]})
 	}
 	s.group.Configure(s.now, d)
@@ -102,11 +102,11 @@
 	next := s.now
 	for n, end := 0, s.now.Add(d); s.now.Before(end); n++ {
 		if n%4 == 0 {
-			s.ask()
+			s.updateStatuses()
 		}
 		for !next.After(s.now) {
 			s.arrive()
-			next = next.Add(time.Duration(s.rand.ExpFloat64() / s.load.rate * float64(time.Second)))
+			next = next.Add(time.Duration(s.rand.ExpFloat64() / s.workload.rate * float64(time.Second)))
 		}
 		s.finish()
 		s.start()
@@ -114,8 +114,8 @@
 	}
 }
 
-func (s *sim) ask() {
-	for _, n := range names {
+func (s *sim) updateStatuses() {
+	for _, n := range instanceNames {
 		st := fleet.Status{Instance: n, Promised: 1, Role: fleet.RoleReplica, Last: s.last(n), Follows: "a"}
 		if n == "a" {
 			st.Role, st.Follows = fleet.RolePrimary, ""
@@ -128,20 +128,20 @@
 func (s *sim) arrive() {
 	r := &request{arrived: s.now, class: "write"}
 	q := &exchange.Request{Intent: exchange.IntentRead}
-	switch p := s.rand.Float64() * (s.load.write + s.load.token + s.load.aged + s.load.blind); {
-	case p < s.load.write:
+	switch p := s.rand.Float64() * (s.workload.write + s.workload.token + s.workload.aged + s.workload.blind); {
+	case p < s.workload.write:
 		q.Intent = exchange.IntentWrite
-	case p < s.load.write+s.load.token:
+	case p < s.workload.write+s.workload.token:
 		r.class = "token"
 		q.After = fleet.Some(s.last("a"))
-	case p < s.load.write+s.load.token+s.load.aged:
+	case p < s.workload.write+s.workload.token+s.workload.aged:
 		r.class = "aged"
-		q.MaxAge = s.load.age
+		q.MaxAge = s.workload.age
 	default:
 		r.class = "blind"
 	}
 	r.info = place.RequestInfo{Intent: q.Intent, Need: session.Needs(q, s.now)}
-	if q.Intent == exchange.IntentRead && s.rand.Float64() < s.load.long {
+	if q.Intent == exchange.IntentRead && s.rand.Float64() < s.workload.long {
 		r.info.Long, r.class = true, "long"
 	}
 	s.queue = append(s.queue, r)
@@ -167,7 +167,7 @@
 
 func (s *sim) loads() place.Loads {
 	l := place.Loads{Instances: make(map[fleet.Instance]place.Load), Waiting: len(s.queue)}
-	for _, n := range names {
+	for _, n := range instanceNames {
 		l.Instances[n] = place.Load{Busy: s.busy[n], Slots: s.slots, Latency: s.latencies[n]}
 	}
 	return l
@@ -185,11 +185,11 @@
 			continue
 		}
 		n := r.choice.Instance
-		work := s.work[n]
+		work := s.statementTime[n]
 		if r.info.Long {
 			work = longWorkTime
 		}
-		r.started, r.ends, r.reads = s.now, s.now.Add(work), s.last(n)
+		r.started, r.ends, r.position = s.now, s.now.Add(work), s.last(n)
 		s.busy[n]++
 		s.running = append(s.running, r)
 	}
