--- a/core/document/diff.go
+++ b/core/document/diff.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// maxDiffCells bounds the work of Diff; beyond it whole texts are shown.
-const maxDiffCells = 4_000_000
+// maxLCSCells bounds the work of Diff; beyond it whole texts are shown.
+const maxLCSCells = 4_000_000
 
 // Diff returns the lines in which b differs from a, marked - and +, each with
 // its section. What stands at a key of an account is left out.
-func Diff(a, b []byte) string {
-	x, y := lines(a), lines(b)
+func Diff(before, after []byte) string {
+	oldLines, newLines := splitLines(before), splitLines(after)
 	var out strings.Builder
 	section := ""
 	show := func(mark string, l line) {
@@ -19,32 +19,32 @@
 			section = l.section
 			fmt.Fprintf(&out, "  %s\n", section)
 		}
-		fmt.Fprintf(&out, "%s %s\n", mark, l.shown)
+		fmt.Fprintf(&out, "%s %s\n", mark, l.redacted)
 	}
-	for len(x) > 0 && len(y) > 0 && x[0] == y[0] {
-		x, y = x[1:], y[1:]
+	for len(oldLines) > 0 && len(newLines) > 0 && oldLines[0] == newLines[0] {
+		oldLines, newLines = oldLines[1:], newLines[1:]
 	}
-	if len(x)*len(y) > maxDiffCells {
-		for _, l := range x {
+	if len(oldLines)*len(newLines) > maxLCSCells {
+		for _, l := range oldLines {
 			show("-", l)
 		}
-		for _, l := range y {
+		for _, l := range newLines {
 			show("+", l)
 		}
 		return out.String()
 	}
-	walk(x, y, common(x, y), show)
+	writeEdits(oldLines, newLines, lcsLengths(oldLines, newLines), show)
 	return out.String()
 }
 
 // line is one line of a text, with the line of the section that it is in.
 type line struct {
-	section string
-	text    string
-	shown   string
+	section  string
+	text     string
+	redacted string
 }
 
-func lines(text []byte) []line {
+func splitLines(text []byte) []line {
 	var l []line
 	section := ""
 	for s := range strings.Lines(string(text)) {
@@ -55,12 +55,12 @@
 		if s[0] == '[' {
 			section = s
 		}
-		l = append(l, line{section, s, withoutVerifier(s)})
+		l = append(l, line{section, s, redactVerifier(s)})
 	}
 	return l
 }
 
-func withoutVerifier(s string) string {
+func redactVerifier(s string) string {
 	k, _, ok := strings.Cut(s, "=")
 	if ok && strings.HasPrefix(s, keyPrefix) {
 		return k + "= (not shown)"
@@ -68,35 +68,35 @@
 	return s
 }
 
-// common returns the lengths of the longest common subsequences of all tails.
-func common(x, y []line) [][]int32 {
-	t := make([][]int32, len(x)+1)
-	for n := range t {
-		t[n] = make([]int32, len(y)+1)
+// lcsLengths returns the lengths of the longest common subsequences of all tails.
+func lcsLengths(oldLines, newLines []line) [][]int32 {
+	lengths := make([][]int32, len(oldLines)+1)
+	for n := range lengths {
+		lengths[n] = make([]int32, len(newLines)+1)
 	}
-	for i := len(x) - 1; i >= 0; i-- {
-		for j := len(y) - 1; j >= 0; j-- {
-			if x[i] == y[j] {
-				t[i][j] = t[i+1][j+1] + 1
+	for i := len(oldLines) - 1; i >= 0; i-- {
+		for j := len(newLines) - 1; j >= 0; j-- {
+			if oldLines[i] == newLines[j] {
+				lengths[i][j] = lengths[i+1][j+1] + 1
 				continue
 			}
-			t[i][j] = max(t[i+1][j], t[i][j+1])
+			lengths[i][j] = max(lengths[i+1][j], lengths[i][j+1])
 		}
 	}
-	return t
+	return lengths
 }
 
-func walk(x, y []line, t [][]int32, show func(mark string, l line)) {
+func writeEdits(oldLines, newLines []line, lengths [][]int32, show func(mark string, l line)) {
 	i, j := 0, 0
-	for i < len(x) || j < len(y) {
+	for i < len(oldLines) || j < len(newLines) {
 		switch {
-		case i < len(x) && j < len(y) && x[i] == y[j]:
+		case i < len(oldLines) && j < len(newLines) && oldLines[i] == newLines[j]:
 			i, j = i+1, j+1
-		case j == len(y) || i < len(x) && t[i+1][j] >= t[i][j+1]:
-			show("-", x[i])
+		case j == len(newLines) || i < len(oldLines) && lengths[i+1][j] >= lengths[i][j+1]:
+			show("-", oldLines[i])
 			i++
 		default:
-			show("+", y[j])
+			show("+", newLines[j])
 			j++
 		}
 	}
--- a/core/document/document_test.go
+++ b/core/document/document_test.go
@@ -18,7 +18,7 @@
 	"skylarkdeal/core/inifile"
 )
 
-func sample(c *qt.C) string {
+func sampleDocument(c *qt.C) string {
 	b, err := os.ReadFile(filepath.Join("..", "..", "docs", "sample", "orders.ini"))
 	c.Assert(err, qt.IsNil)
 	return string(b)
@@ -26,7 +26,7 @@
 
 func TestSampleParses(t *testing.T) {
 	c := qt.New(t)
-	d, err := document.Parse([]byte(sample(c)), 7)
+	d, err := document.Parse([]byte(sampleDocument(c)), 7)
 	c.Assert(err, qt.IsNil)
 	c.Assert(d.Service, qt.Equals, fleet.Service("orders"))
 	c.Assert(d.Version, qt.Equals, document.Version(7))
@@ -45,7 +45,7 @@
 
 func TestMistakesCarryTheirPlace(t *testing.T) {
 	c := qt.New(t)
-	text := sample(c)
+	text := sampleDocument(c)
 	for _, t := range []struct{ old, change, want string }{
 		{"acknowledge = replicated", "acknowledge = all", `[service] acknowledge: found "all", expected one of replicated`},
 		{"holders = 3", "holders = 0", `[service] holders: found "0", expected a whole number from 1`},
@@ -94,7 +94,7 @@
 
 func TestFormatRoundTrip(t *testing.T) {
 	c := qt.New(t)
-	d, err := document.Parse([]byte(sample(c)), 7)
+	d, err := document.Parse([]byte(sampleDocument(c)), 7)
 	c.Assert(err, qt.IsNil)
 	again, err := document.Parse(d.Format(), 7)
 	c.Assert(err, qt.IsNil)
@@ -115,38 +115,38 @@
 		KeyFactors: scram.KeyFactors{Salt: string(v.Salt), Iters: v.Iterations},
 		StoredKey:  v.StoredKey, ServerKey: v.ServerKey,
 	}
-	c.Assert(converse(c, stored, key), qt.IsTrue)
-	c.Assert(converse(c, stored, key+"x"), qt.IsFalse)
+	c.Assert(authenticate(c, stored, key), qt.IsTrue)
+	c.Assert(authenticate(c, stored, key+"x"), qt.IsFalse)
 }
 
-func converse(c *qt.C, stored scram.StoredCredentials, key string) bool {
+func authenticate(c *qt.C, stored scram.StoredCredentials, key string) bool {
 	client, err := scram.SHA256.NewClient("hotel", key, "")
 	c.Assert(err, qt.IsNil)
 	server, err := scram.SHA256.NewServer(func(string) (scram.StoredCredentials, error) { return stored, nil })
 	c.Assert(err, qt.IsNil)
-	ours, theirs := client.NewConversation(), server.NewConversation()
+	clientConversation, serverConversation := client.NewConversation(), server.NewConversation()
 	m := ""
-	for !ours.Done() {
-		if m, err = ours.Step(m); err != nil {
+	for !clientConversation.Done() {
+		if m, err = clientConversation.Step(m); err != nil {
 			return false
 		}
-		if theirs.Done() {
+		if serverConversation.Done() {
 			break
 		}
-		if m, err = theirs.Step(m); err != nil {
+		if m, err = serverConversation.Step(m); err != nil {
 			return false
 		}
 	}
-	return theirs.Valid() && ours.Valid()
+	return serverConversation.Valid() && clientConversation.Valid()
 }
 
-func TestVerifierRefusesUnfitKeys(t *testing.T) {
+func TestNewVerifierRejectsInvalidKeys(t *testing.T) {
 	c := qt.New(t)
 	for _, k := range []string{
 		"", "short", strings.Repeat("x", 257), "sixteen-letters-\x01", "sixteen-léttersx", "with spaces inside",
 	} {
 		_, err := document.NewVerifier(k)
-		c.Check(err, qt.ErrorIs, document.ErrKey, qt.Commentf("%q", k))
+		c.Check(err, qt.ErrorIs, document.ErrInvalidKey, qt.Commentf("%q", k))
 	}
 }
 
@@ -178,7 +178,7 @@
 	// + key.spring = (not shown)
 }
 
-func TestDiffOfEqualTextsIsEmpty(t *testing.T) {
+func TestDiffLineCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := rapid.SliceOfN(rapid.SampledFrom([]string{"[a]", "x = 1", "y = 2", ""}), 0, 12)
 		a, b := strings.Join(l.Draw(t, "a"), "\n"), strings.Join(l.Draw(t, "b"), "\n")
@@ -212,7 +212,7 @@
 
 func FuzzParse(f *testing.F) {
 	c := qt.New(f)
-	f.Add(sample(c))
+	f.Add(sampleDocument(c))
 	f.Add("[service]\nname = a\n[instance \"b\"]\naddress = 1.2.3.4:5")
 	f.Fuzz(func(t *testing.T, text string) {
 		d, err := document.Parse([]byte(text), 1)
@@ -227,7 +227,7 @@
 	})
 }
 
-func FuzzUnseal(f *testing.F) {
+func FuzzSplitStamp(f *testing.F) {
 	f.Add("; skylarkdeal edit=a seq=1 after=2 base=3 by=x at=2026-12-02T00:00:00Z\n[service]")
 	f.Add("; skylarkdeal seq=-1 base=99999999999999999999")
 	f.Fuzz(func(t *testing.T, value string) {
--- a/core/document/parse.go
+++ b/core/document/parse.go
@@ -24,14 +24,14 @@
 // The bounds of a document. They keep a slip of a unit from passing as a
 // choice.
 const (
-	maxHolders     = 64
-	maxConnections = 10000
-	maxRate        = 1e6
-	maxBurst       = 1e6
-	maxSessions    = 1 << 20
-	maxInstances   = 64
-	maxAccounts    = 4096
-	maxKeys        = 16
+	maxHolders        = 64
+	maxConnections    = 10000
+	maxRate           = 1e6
+	maxBurst          = 1e6
+	maxSessions       = 1 << 20
+	maxInstances      = 64
+	maxAccounts       = 4096
+	maxKeysPerAccount = 16
 	// minCutOffAfter is above the age that confirmations have by the time they
 	// have come from a watcher over several peers to the last host.
 	minCutOffAfter = 30 * time.Second
@@ -39,9 +39,9 @@
 )
 
 const (
-	keyPrefix    = "key."
-	rateForm     = "a rate above 0, such as 50/s, 300/m or 0.5/s"
-	sectionsForm = `one of service, instance "<name>", account "<name>"`
+	keyPrefix      = "key."
+	rateFormat     = "a rate above 0, such as 50/s, 300/m or 0.5/s"
+	sectionsFormat = `one of service, instance "<name>", account "<name>"`
 )
 
 // Parse reads the document in text; version is the store's. The error holds all
@@ -49,28 +49,28 @@
 func Parse(text []byte, version Version) (*Document, error) {
 	f := inifile.Read("document", text)
 	d := &Document{Version: version}
-	service(f.Section("service"), d)
+	parseService(f.Section("service"), d)
 	for _, n := range f.Sections() {
-		section(f, n, d)
+		parseSection(f, n, d)
 	}
-	f.Stray()
-	whole(f, d)
+	f.RejectKeysOutsideSections()
+	checkWhole(f, d)
 	if err := f.Err(); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-func section(f *inifile.File, name string, d *Document) {
+func parseSection(f *inifile.File, name string, d *Document) {
 	kind, quoted, _ := strings.Cut(name, " ")
 	switch {
 	case name == "service":
 	case kind == "instance" && isQuotedName(quoted):
-		d.Instances = append(d.Instances, instance(f.Section(name), unquote(quoted)))
+		d.Instances = append(d.Instances, parseInstance(f.Section(name), unquote(quoted)))
 	case kind == "account" && isQuotedName(quoted):
-		d.Accounts = append(d.Accounts, account(f.Section(name), unquote(quoted)))
+		d.Accounts = append(d.Accounts, parseAccount(f.Section(name), unquote(quoted)))
 	default:
-		f.Wrong(name, "", "an unknown section", sectionsForm+", with "+inifile.NameForm)
+		f.AddInvalid(name, "", "an unknown section", sectionsFormat+", with "+inifile.NameForm)
 	}
 }
 
@@ -83,7 +83,7 @@
 	return strings.Trim(s, `"`)
 }
 
-func service(s *inifile.Section, d *Document) {
+func parseService(s *inifile.Section, d *Document) {
 	d.Service = fleet.Service(s.Name("name"))
 	d.Acknowledge = Acknowledge(s.OneOf("acknowledge", string(AcknowledgeReplicated),
 		string(AcknowledgeReplicated), string(AcknowledgePrimary)))
@@ -91,21 +91,21 @@
 	d.StatementTimeout = s.Duration("statement-timeout", DefaultStatementTimeout, 10*time.Millisecond, time.Hour)
 	d.CutOff = CutOff(s.OneOf("cut-off", string(CutOffServe), string(CutOffServe), string(CutOffStop)))
 	d.CutOffAfter = s.Duration("cut-off-after", DefaultCutOffAfter, minCutOffAfter, maxCutOffAfter)
-	d.DataCentres = dataCentres(s, "data-centres")
-	d.Evacuated = dataCentres(s, "evacuated")
+	d.DataCentres = parseDataCentres(s, "data-centres")
+	d.Evacuated = parseDataCentres(s, "evacuated")
 	if len(d.DataCentres) == 0 {
-		s.Missing("data-centres", "the data centres that share out the accounts' rates")
+		s.AddMissing("data-centres", "the data centres that share out the accounts' rates")
 	}
-	s.Unknown()
+	s.RejectUnknownKeys()
 }
 
-// dataCentres reads a list of data centres.
-func dataCentres(s *inifile.Section, key string) []fleet.DataCentre {
+// parseDataCentres reads a list of data centres.
+func parseDataCentres(s *inifile.Section, key string) []fleet.DataCentre {
 	var out []fleet.DataCentre
 	for _, n := range s.List(key) {
 		c := fleet.DataCentre(n)
 		if !inifile.IsName(n) || slices.Contains(out, c) {
-			s.Wrong(key, strconv.Quote(n), "each data centre once, "+inifile.NameForm)
+			s.AddInvalid(key, strconv.Quote(n), "each data centre once, "+inifile.NameForm)
 			continue
 		}
 		out = append(out, c)
@@ -113,8 +113,8 @@
 	return out
 }
 
-func instance(s *inifile.Section, name string) Instance {
-	defer s.Unknown()
+func parseInstance(s *inifile.Section, name string) Instance {
+	defer s.RejectUnknownKeys()
 	i := Instance{
 		Name:        fleet.Instance(name),
 		Address:     s.Address("address"),
@@ -124,7 +124,7 @@
 		Leaving:     s.Bool("leaving", false),
 	}
 	if i.Connections < i.Slots {
-		s.Wrong("connections", strconv.Itoa(i.Connections),
+		s.AddInvalid("connections", strconv.Itoa(i.Connections),
 			fmt.Sprintf("at least one connection for each of %d slots", i.Slots))
 	}
 	return i
@@ -138,8 +138,8 @@
 	return errX != nil || errY != nil || x.Iterations == y.Iterations && bytes.Equal(x.Salt, y.Salt)
 }
 
-func account(s *inifile.Section, name string) Account {
-	a := Account{Name: fleet.Account(name), Rate: rate(s), MaxSessions: s.Int("max-sessions", 0, 0, maxSessions)}
+func parseAccount(s *inifile.Section, name string) Account {
+	a := Account{Name: fleet.Account(name), Rate: parseRate(s), MaxSessions: s.Int("max-sessions", 0, 0, maxSessions)}
 	a.Burst = float64(s.Int("burst", int(max(1, min(a.Rate, maxBurst))), 1, maxBurst))
 	for _, k := range s.Keys() {
 		n, ok := strings.CutPrefix(k, keyPrefix)
@@ -147,29 +147,29 @@
 			continue
 		}
 		if !inifile.IsName(n) {
-			s.Wrong(k, "a key without a proper name", keyPrefix+"<name>, with "+inifile.NameForm)
+			s.AddInvalid(k, "a key without a proper name", keyPrefix+"<name>, with "+inifile.NameForm)
 		}
 		v, _ := s.Value(k)
 		if err := CheckVerifier(v); err != nil {
-			s.Wrong(k, "something else, not shown here", VerifierForm+" ("+err.Error()+")")
+			s.AddInvalid(k, "something else, not shown here", VerifierFormat+" ("+err.Error()+")")
 		} else if len(a.Keys) > 0 && !sameSalt(a.Keys[0].Verifier, v) {
-			s.Wrong(k, "a salt other than that of "+keyPrefix+a.Keys[0].Name,
+			s.AddInvalid(k, "a salt other than that of "+keyPrefix+a.Keys[0].Name,
 				"one salt for all keys of an account, as `skylarkdeal key verifier --account` gives them")
 		}
 		a.Keys = append(a.Keys, Key{Name: n, Verifier: v})
 	}
-	if len(a.Keys) > maxKeys {
-		s.Wrong("", fmt.Sprintf("%d keys", len(a.Keys)), fmt.Sprintf("at most %d", maxKeys))
+	if len(a.Keys) > maxKeysPerAccount {
+		s.AddInvalid("", fmt.Sprintf("%d keys", len(a.Keys)), fmt.Sprintf("at most %d", maxKeysPerAccount))
 	}
-	s.Unknown()
+	s.RejectUnknownKeys()
 	return a
 }
 
 // rateUnits are the seconds of the units of a rate.
 var rateUnits = map[string]float64{"s": 1, "m": 60, "h": 3600}
 
-func rate(s *inifile.Section) float64 {
-	v := s.Required("rate", rateForm)
+func parseRate(s *inifile.Section) float64 {
+	v := s.Required("rate", rateFormat)
 	if v == "" {
 		return 0
 	}
@@ -177,40 +177,41 @@
 	r, err := strconv.ParseFloat(n, 64)
 	seconds, ok := rateUnits[unit]
 	if err != nil || !ok || !(r > 0) || r/seconds > maxRate {
-		s.Wrong("rate", strconv.Quote(v), rateForm)
+		s.AddInvalid("rate", strconv.Quote(v), rateFormat)
 		return 0
 	}
 	return r / seconds
 }
 
-// whole checks what no single section shows.
-func whole(f *inifile.File, d *Document) {
+// checkWhole checks what no single section shows.
+func checkWhole(f *inifile.File, d *Document) {
 	if n := len(d.Instances); n == 0 || n > maxInstances {
-		f.Wrong("", "", fmt.Sprintf("%d instances", n), fmt.Sprintf(`1 to %d sections [instance "<name>"]`, maxInstances))
+		f.AddInvalid("", "", fmt.Sprintf("%d instances", n),
+			fmt.Sprintf(`1 to %d sections [instance "<name>"]`, maxInstances))
 	}
 	if n := len(d.Accounts); n > maxAccounts {
-		f.Wrong("", "", fmt.Sprintf("%d accounts", n), fmt.Sprintf("at most %d", maxAccounts))
+		f.AddInvalid("", "", fmt.Sprintf("%d accounts", n), fmt.Sprintf("at most %d", maxAccounts))
 	}
-	evacuate(f, d)
-	at := map[string]fleet.Instance{}
+	markEvacuated(f, d)
+	instanceAt := map[string]fleet.Instance{}
 	for _, i := range d.Instances {
-		if first, ok := at[i.Address]; ok && i.Address != "" {
-			f.Wrong(fmt.Sprintf("instance %q", i.Name), "address", i.Address,
+		if first, ok := instanceAt[i.Address]; ok && i.Address != "" {
+			f.AddInvalid(fmt.Sprintf("instance %q", i.Name), "address", i.Address,
 				fmt.Sprintf("another address than that of instance %q", first))
 		}
-		at[i.Address] = i.Name
+		instanceAt[i.Address] = i.Name
 	}
 }
 
-// evacuate marks the instances of evacuated data centres as leaving.
-func evacuate(f *inifile.File, d *Document) {
+// markEvacuated marks the instances of evacuated data centres as leaving.
+func markEvacuated(f *inifile.File, d *Document) {
 	for _, dc := range d.Evacuated {
-		in := func(i Instance) bool { return i.DataCentre == dc }
-		if !slices.ContainsFunc(d.Instances, in) {
-			f.Wrong("service", "evacuated", strconv.Quote(string(dc)), "a data centre that has an instance")
+		isIn := func(i Instance) bool { return i.DataCentre == dc }
+		if !slices.ContainsFunc(d.Instances, isIn) {
+			f.AddInvalid("service", "evacuated", strconv.Quote(string(dc)), "a data centre that has an instance")
 		}
 		for n := range d.Instances {
-			d.Instances[n].Leaving = d.Instances[n].Leaving || in(d.Instances[n])
+			d.Instances[n].Leaving = d.Instances[n].Leaving || isIn(d.Instances[n])
 		}
 	}
 }
@@ -221,9 +222,9 @@
 	fmt.Fprintf(&b, "[service]\nname = %s\nacknowledge = %s\nholders = %d\nstatement-timeout = %s\n",
 		d.Service, d.Acknowledge, d.Holders, d.StatementTimeout)
 	fmt.Fprintf(&b, "cut-off = %s\ncut-off-after = %s\ndata-centres = %s\n",
-		d.CutOff, d.CutOffAfter, join(d.DataCentres))
+		d.CutOff, d.CutOffAfter, joinDataCentres(d.DataCentres))
 	if len(d.Evacuated) > 0 {
-		fmt.Fprintf(&b, "evacuated = %s\n", join(d.Evacuated))
+		fmt.Fprintf(&b, "evacuated = %s\n", joinDataCentres(d.Evacuated))
 	}
 	for _, i := range d.Instances {
 		fmt.Fprintf(&b, "\n[instance %q]\naddress = %s\ndata-centre = %s\nslots = %d\nconnections = %d\nleaving = %t\n",
@@ -231,7 +232,7 @@
 	}
 	for _, a := range d.Accounts {
 		fmt.Fprintf(&b, "\n[account %q]\nrate = %s/s\nburst = %s\nmax-sessions = %d\n",
-			a.Name, number(a.Rate), number(a.Burst), a.MaxSessions)
+			a.Name, formatNumber(a.Rate), formatNumber(a.Burst), a.MaxSessions)
 		for _, k := range a.Keys {
 			fmt.Fprintf(&b, "%s%s = %s\n", keyPrefix, k.Name, k.Verifier)
 		}
@@ -239,7 +240,7 @@
 	return []byte(b.String())
 }
 
-func join(dcs []fleet.DataCentre) string {
+func joinDataCentres(dcs []fleet.DataCentre) string {
 	out := make([]string, len(dcs))
 	for n, c := range dcs {
 		out[n] = string(c)
@@ -247,6 +248,6 @@
 	return strings.Join(out, ", ")
 }
 
-func number(f float64) string {
+func formatNumber(f float64) string {
 	return strconv.FormatFloat(f, 'f', -1, 64)
 }
--- a/core/document/table.go
+++ b/core/document/table.go
@@ -33,8 +33,8 @@
 	From     Source
 }
 
-// Rejected is a newer version that isn't in effect because it is invalid.
-type Rejected struct {
+// RejectedOffer is a newer version that isn't in effect because it is invalid.
+type RejectedOffer struct {
 	Offer
 	At  time.Time
 	Err error
@@ -65,90 +65,90 @@
 // takes a host back. A version with mistakes changes nothing but Rejected: the
 // last good one goes on.
 type Documents struct {
-	held     map[fleet.Service]ActiveDocument
-	rejected map[fleet.Service]Rejected
-	// confirmed is when all that is held was last known to be the newest.
-	confirmed time.Time
+	active   map[fleet.Service]ActiveDocument
+	rejected map[fleet.Service]RejectedOffer
+	// confirmedAt is when all that is held was last known to be the newest.
+	confirmedAt time.Time
 }
 
 // Offer decides on a version. The error says why one is invalid or in conflict.
-func (t *Documents) Offer(o Offer, now time.Time) (Verdict, error) {
-	h, ok := t.held[o.Service]
-	if ok && o.Version < h.Document.Version {
+func (d *Documents) Offer(o Offer, now time.Time) (Verdict, error) {
+	current, ok := d.active[o.Service]
+	if ok && o.Version < current.Document.Version {
 		return VerdictStale, nil
 	}
-	if ok && o.Version == h.Document.Version {
-		if bytes.Equal(o.Text, h.Text) {
+	if ok && o.Version == current.Document.Version {
+		if bytes.Equal(o.Text, current.Text) {
 			return VerdictKnown, nil
 		}
 		return VerdictConflict, fmt.Errorf("service %s: version %d from %s differs from the one in effect, from %s",
-			o.Service, o.Version, o.From, h.From)
+			o.Service, o.Version, o.From, current.From)
 	}
-	if r, ok := t.rejected[o.Service]; ok && o.Version == r.Version && bytes.Equal(o.Text, r.Text) {
+	if r, ok := d.rejected[o.Service]; ok && o.Version == r.Version && bytes.Equal(o.Text, r.Text) {
 		return VerdictKnown, nil
 	}
-	d, err := Parse(o.Text, o.Version)
-	if err == nil && d.Service != o.Service {
-		err = fmt.Errorf("the document of service %s states the name %s", o.Service, d.Service)
+	doc, err := Parse(o.Text, o.Version)
+	if err == nil && doc.Service != o.Service {
+		err = fmt.Errorf("the document of service %s states the name %s", o.Service, doc.Service)
 	}
 	if err != nil {
-		t.reject(o, now, err)
+		d.reject(o, now, err)
 		return VerdictInvalid, err
 	}
-	t.adopt(o, d, now)
+	d.adopt(o, doc, now)
 	return VerdictAdopted, nil
 }
 
-func (t *Documents) adopt(o Offer, d *Document, now time.Time) {
-	if t.held == nil {
-		t.held = map[fleet.Service]ActiveDocument{}
+func (d *Documents) adopt(o Offer, doc *Document, now time.Time) {
+	if d.active == nil {
+		d.active = map[fleet.Service]ActiveDocument{}
 	}
-	t.held[o.Service] = ActiveDocument{Document: d, Text: o.Text, Since: now, From: o.From}
-	if t.rejected[o.Service].Version <= o.Version {
-		delete(t.rejected, o.Service)
+	d.active[o.Service] = ActiveDocument{Document: doc, Text: o.Text, Since: now, From: o.From}
+	if d.rejected[o.Service].Version <= o.Version {
+		delete(d.rejected, o.Service)
 	}
 }
 
 // reject keeps the newest invalid version, for reports and for other hosts.
-func (t *Documents) reject(o Offer, now time.Time, err error) {
-	if t.rejected == nil {
-		t.rejected = map[fleet.Service]Rejected{}
+func (d *Documents) reject(o Offer, now time.Time, err error) {
+	if d.rejected == nil {
+		d.rejected = map[fleet.Service]RejectedOffer{}
 	}
-	if r, ok := t.rejected[o.Service]; !ok || o.Version > r.Version {
-		t.rejected[o.Service] = Rejected{Offer: o, At: now, Err: err}
+	if r, ok := d.rejected[o.Service]; !ok || o.Version > r.Version {
+		d.rejected[o.Service] = RejectedOffer{Offer: o, At: now, Err: err}
 	}
 }
 
 // Get returns the document of a service that is in effect.
-func (t *Documents) Get(s fleet.Service) (ActiveDocument, bool) {
-	h, ok := t.held[s]
-	return h, ok
+func (d *Documents) Get(s fleet.Service) (ActiveDocument, bool) {
+	a, ok := d.active[s]
+	return a, ok
 }
 
 // All returns the documents in effect, by service.
-func (t *Documents) All() []ActiveDocument {
-	return slices.SortedFunc(maps.Values(t.held), func(a, b ActiveDocument) int {
+func (d *Documents) All() []ActiveDocument {
+	return slices.SortedFunc(maps.Values(d.active), func(a, b ActiveDocument) int {
 		return cmp.Compare(a.Document.Service, b.Document.Service)
 	})
 }
 
 // Rejected returns the newer versions that are invalid, by service.
-func (t *Documents) Rejected() []Rejected {
-	return slices.SortedFunc(maps.Values(t.rejected), func(a, b Rejected) int {
+func (d *Documents) Rejected() []RejectedOffer {
+	return slices.SortedFunc(maps.Values(d.rejected), func(a, b RejectedOffer) int {
 		return cmp.Compare(a.Service, b.Service)
 	})
 }
 
 // Confirm records that at that time all that is held was the newest.
-func (t *Documents) Confirm(at time.Time) {
-	if at.After(t.confirmed) {
-		t.confirmed = at
+func (d *Documents) Confirm(at time.Time) {
+	if at.After(d.confirmedAt) {
+		d.confirmedAt = at
 	}
 }
 
 // Confirmed returns the time of the last confirmation, zero if there was none.
-func (t *Documents) Confirmed() time.Time {
-	return t.confirmed
+func (d *Documents) Confirmed() time.Time {
+	return d.confirmedAt
 }
 
 // KnownVersions is how far a host's knowledge of one document reaches.
@@ -160,12 +160,12 @@
 }
 
 // Known returns how far the knowledge of each document reaches.
-func (t *Documents) Known() map[fleet.Service]KnownVersions {
-	k := make(map[fleet.Service]KnownVersions, len(t.held))
-	for s, h := range t.held {
-		k[s] = KnownVersions{Version: h.Document.Version, Seen: h.Document.Version}
+func (d *Documents) Known() map[fleet.Service]KnownVersions {
+	k := make(map[fleet.Service]KnownVersions, len(d.active))
+	for s, a := range d.active {
+		k[s] = KnownVersions{Version: a.Document.Version, Seen: a.Document.Version}
 	}
-	for s, r := range t.rejected {
+	for s, r := range d.rejected {
 		k[s] = KnownVersions{Version: k[s].Version, Seen: max(k[s].Seen, r.Version)}
 	}
 	return k
@@ -173,9 +173,9 @@
 
 // Digest returns one number for all that Known tells. Hosts with equal sums know
 // the same, but for the odds of a hash of 64 bits.
-func (t *Documents) Digest() uint64 {
+func (d *Documents) Digest() uint64 {
 	sum := uint64(0)
-	for s, k := range t.Known() {
+	for s, k := range d.Known() {
 		b := binary.BigEndian.AppendUint64([]byte(s), uint64(k.Version))
 		sum ^= xxhash.Sum64(binary.BigEndian.AppendUint64(b, uint64(k.Seen)))
 	}
@@ -184,31 +184,31 @@
 
 // Revision returns the highest revision of the store that is known from the
 // versions that have come.
-func (t *Documents) Revision() uint64 {
-	r := uint64(0)
-	for _, h := range t.held {
-		r = max(r, RevisionOf(h.Text, h.Document.Version))
+func (d *Documents) Revision() uint64 {
+	highest := uint64(0)
+	for _, a := range d.active {
+		highest = max(highest, RevisionOf(a.Text, a.Document.Version))
 	}
-	for _, j := range t.rejected {
-		r = max(r, RevisionOf(j.Text, j.Version))
+	for _, r := range d.rejected {
+		highest = max(highest, RevisionOf(r.Text, r.Version))
 	}
-	return r
+	return highest
 }
 
 // Missing returns what a host lacks whose knowledge is other, and the services
 // of which that host has more.
-func (t *Documents) Missing(other map[fleet.Service]KnownVersions) (offers []Offer, wanted []fleet.Service) {
-	mine := t.Known()
-	for s := range other {
-		if other[s].Version > mine[s].Version || other[s].Seen > mine[s].Seen {
+func (d *Documents) Missing(known map[fleet.Service]KnownVersions) (offers []Offer, wanted []fleet.Service) {
+	own := d.Known()
+	for s := range known {
+		if known[s].Version > own[s].Version || known[s].Seen > own[s].Seen {
 			wanted = append(wanted, s)
 		}
 	}
-	for s, k := range mine {
-		if k.Version > other[s].Version {
-			offers = append(offers, t.offer(s))
+	for s, k := range own {
+		if k.Version > known[s].Version {
+			offers = append(offers, d.offer(s))
 		}
-		if r, ok := t.rejected[s]; ok && r.Version > other[s].Seen {
+		if r, ok := d.rejected[s]; ok && r.Version > known[s].Seen {
 			offers = append(offers, r.Offer)
 		}
 	}
@@ -220,22 +220,22 @@
 }
 
 // Offers returns all that is known of the services.
-func (t *Documents) Offers(services []fleet.Service) []Offer {
+func (d *Documents) Offers(services []fleet.Service) []Offer {
 	var l []Offer
 	for _, s := range services {
-		if _, ok := t.held[s]; ok {
-			l = append(l, t.offer(s))
+		if _, ok := d.active[s]; ok {
+			l = append(l, d.offer(s))
 		}
-		if r, ok := t.rejected[s]; ok {
+		if r, ok := d.rejected[s]; ok {
 			l = append(l, r.Offer)
 		}
 	}
 	return l
 }
 
-func (t *Documents) offer(s fleet.Service) Offer {
-	h := t.held[s]
-	return Offer{Service: s, Version: h.Document.Version, Text: h.Text, From: h.From}
+func (d *Documents) offer(s fleet.Service) Offer {
+	a := d.active[s]
+	return Offer{Service: s, Version: a.Document.Version, Text: a.Text, From: a.From}
 }
 
 // Stopped reports whether d is no longer to be served, having last been
--- a/core/document/table_test.go
+++ b/core/document/table_test.go
@@ -12,16 +12,16 @@
 	"skylarkdeal/core/fleet"
 )
 
-// text returns a small document of a service that is told from others by its
+// documentText returns a small document of a service that is told from others by its
 // number of holders; none makes an invalid one.
-func text(s fleet.Service, holders int) []byte {
+func documentText(s fleet.Service, holders int) []byte {
 	return fmt.Appendf(nil, "[service]\nname = %s\nholders = %d\ndata-centres = x\n"+
 		"[instance \"a\"]\naddress = 10.0.0.1:1\ndata-centre = x\n", s, holders)
 }
 
 var start = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 
-func TestTableOffers(t *testing.T) {
+func TestOfferVerdicts(t *testing.T) {
 	c := qt.New(t)
 	var table document.Documents
 	for _, t := range []struct {
@@ -30,15 +30,15 @@
 		want     document.Verdict
 		inEffect document.Version
 	}{
-		{5, text("a", 1), document.VerdictAdopted, 5},
-		{5, text("a", 1), document.VerdictKnown, 5},
-		{5, text("a", 2), document.VerdictConflict, 5},
-		{4, text("a", 3), document.VerdictStale, 5},
-		{7, text("a", 0), document.VerdictInvalid, 5},
-		{7, text("a", 0), document.VerdictKnown, 5},
-		{6, text("a", 4), document.VerdictAdopted, 6},
-		{8, text("b", 1), document.VerdictInvalid, 6},
-		{9, text("a", 5), document.VerdictAdopted, 9},
+		{5, documentText("a", 1), document.VerdictAdopted, 5},
+		{5, documentText("a", 1), document.VerdictKnown, 5},
+		{5, documentText("a", 2), document.VerdictConflict, 5},
+		{4, documentText("a", 3), document.VerdictStale, 5},
+		{7, documentText("a", 0), document.VerdictInvalid, 5},
+		{7, documentText("a", 0), document.VerdictKnown, 5},
+		{6, documentText("a", 4), document.VerdictAdopted, 6},
+		{8, documentText("b", 1), document.VerdictInvalid, 6},
+		{9, documentText("a", 5), document.VerdictAdopted, 9},
 	} {
 		v, err := table.Offer(document.Offer{Service: "a", Version: t.version, Text: t.text}, start)
 		c.Check(v, qt.Equals, t.want, qt.Commentf("version %d", t.version))
@@ -63,39 +63,39 @@
 	c.Check(d.Stopped(start, start.Add(time.Hour)), qt.IsFalse)
 }
 
-// world is a store and some hosts that hear of its changes in any order, twice
+// simulation is a store and some hosts that hear of its changes in any order, twice
 // or never, from the store, from each other, and after restarts.
-type world struct {
+type simulation struct {
 	// versions are what the store has ever held, one service each line.
 	versions []document.Offer
 	hosts    []*document.Documents
-	// reached is the highest version that each host has had in effect.
-	reached []map[fleet.Service]document.Version
+	// highest is the highest version that each host has had in effect.
+	highest []map[fleet.Service]document.Version
 }
 
-func (w *world) offer(t *rapid.T, host int, o document.Offer) {
+func (w *simulation) offer(t *rapid.T, host int, o document.Offer) {
 	_, _ = w.hosts[host].Offer(o, start)
-	for s := range w.reached[host] {
+	for s := range w.highest[host] {
 		w.check(t, host, s)
 	}
 	w.check(t, host, o.Service)
 }
 
-func (w *world) check(t *rapid.T, host int, s fleet.Service) {
+func (w *simulation) check(t *rapid.T, host int, s fleet.Service) {
 	h, ok := w.hosts[host].Get(s)
 	if !ok {
-		if w.reached[host][s] > 0 {
+		if w.highest[host][s] > 0 {
 			t.Fatalf("host %d lost service %s", host, s)
 		}
 		return
 	}
-	if h.Document.Version < w.reached[host][s] {
-		t.Fatalf("host %d reverted service %s from %d to %d", host, s, w.reached[host][s], h.Document.Version)
+	if h.Document.Version < w.highest[host][s] {
+		t.Fatalf("host %d reverted service %s from %d to %d", host, s, w.highest[host][s], h.Document.Version)
 	}
 	if _, err := document.Parse(h.Text, h.Document.Version); err != nil {
 		t.Fatalf("host %d has an invalid document in effect: %v", host, err)
 	}
-	w.reached[host][s] = h.Document.Version
+	w.highest[host][s] = h.Document.Version
 }
 
 // A user sees a revoked key work again on one host only: it had taken the
@@ -104,10 +104,10 @@
 func TestAdoptionNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const hosts = 4
-		w := &world{}
+		w := &simulation{}
 		for range hosts {
 			w.hosts = append(w.hosts, &document.Documents{})
-			w.reached = append(w.reached, map[fleet.Service]document.Version{})
+			w.highest = append(w.highest, map[fleet.Service]document.Version{})
 		}
 		host := rapid.IntRange(0, hosts-1)
 		revision := uint64(1)
@@ -117,7 +117,7 @@
 				s := rapid.SampledFrom([]fleet.Service{"a", "b"}).Draw(t, "service")
 				w.versions = append(w.versions, document.Offer{
 					Service: s, Version: document.Version(revision), From: "store",
-					Text: text(s, rapid.IntRange(0, 3).Draw(t, "holders")),
+					Text: documentText(s, rapid.IntRange(0, 3).Draw(t, "holders")),
 				})
 			},
 			"reset": func(t *rapid.T) {
@@ -138,7 +138,7 @@
 			"restart": func(t *rapid.T) {
 				h := host.Draw(t, "host")
 				w.hosts[h] = &document.Documents{}
-				w.reached[h] = map[fleet.Service]document.Version{}
+				w.highest[h] = map[fleet.Service]document.Version{}
 			},
 		})
 	})
@@ -157,7 +157,7 @@
 			s := fleet.Service([]string{"a", "b", "c"}[v%3])
 			o := document.Offer{
 				Service: s, Version: document.Version(v + 1),
-				Text: text(s, rapid.IntRange(0, 3).Draw(t, "holders")),
+				Text: documentText(s, rapid.IntRange(0, 3).Draw(t, "holders")),
 			}
 			_, _ = hosts[rapid.IntRange(0, 3).Draw(t, "host")].Offer(o, start)
 		}
@@ -181,11 +181,11 @@
 	})
 }
 
-func TestMissingTellsBothSides(t *testing.T) {
+func TestMissingReturnsOffersAndWanted(t *testing.T) {
 	c := qt.New(t)
 	var a, b document.Documents
 	offer := func(t *document.Documents, s fleet.Service, v document.Version, holders int) {
-		_, _ = t.Offer(document.Offer{Service: s, Version: v, Text: text(s, holders)}, start)
+		_, _ = t.Offer(document.Offer{Service: s, Version: v, Text: documentText(s, holders)}, start)
 	}
 	offer(&a, "x", 1, 1)
 	offer(&a, "x", 2, 0)
--- a/core/document/verifier.go
+++ b/core/document/verifier.go
@@ -14,24 +14,24 @@
 	"skylarkdeal/core/fleet"
 )
 
-// VerifierForm is what stands at a key of an account.
-const VerifierForm = "SCRAM-SHA-256$<iterations>:<salt>$<stored key>:<server key>, made by `skylarkdeal key verifier`"
+// VerifierFormat is what stands at a key of an account.
+const VerifierFormat = "SCRAM-SHA-256$<iterations>:<salt>$<stored key>:<server key>, made by `skylarkdeal key verifier`"
 
 // The bounds of keys and verifiers.
 const (
-	MinKey     = 16
-	maxKey     = 256
-	iterations = 4096
-	saltSize   = 16
-	minSalt    = 8
-	maxSalt    = 64
+	MinKeyLength  = 16
+	maxKeyLength  = 256
+	minIterations = 4096
+	saltSize      = 16
+	minSaltSize   = 8
+	maxSaltSize   = 64
 	// maxIterations bounds the work that a verifier asks of each caller.
 	maxIterations = 1_000_000
-	scheme        = "SCRAM-SHA-256"
+	mechanism     = "SCRAM-SHA-256"
 )
 
-// ErrKey is a key that no verifier is made of.
-var ErrKey = fmt.Errorf("a key has %d to %d printable ASCII characters", MinKey, maxKey)
+// ErrInvalidKey is a key that no verifier is made of.
+var ErrInvalidKey = fmt.Errorf("a key has %d to %d printable ASCII characters", MinKeyLength, maxKeyLength)
 
 // NewKey returns a new random key.
 func NewKey() string {
@@ -63,23 +63,24 @@
 
 // VerifierOf returns the verifier of key with the given salt.
 func VerifierOf(key string, salt []byte) (string, error) {
-	if len(key) < MinKey || len(key) > maxKey || strings.ContainsFunc(key, notPrintable) {
-		return "", ErrKey
+	if len(key) < MinKeyLength || len(key) > maxKeyLength || strings.ContainsFunc(key, isInvalidKeyChar) {
+		return "", ErrInvalidKey
 	}
-	salted, err := pbkdf2.Key(sha256.New, key, salt, iterations, sha256.Size)
+	salted, err := pbkdf2.Key(sha256.New, key, salt, minIterations, sha256.Size)
 	if err != nil {
 		return "", err
 	}
-	stored := sha256.Sum256(mac(salted, "Client Key"))
-	e := base64.StdEncoding.EncodeToString
-	return fmt.Sprintf("%s$%d:%s$%s:%s", scheme, iterations, e(salt), e(stored[:]), e(mac(salted, "Server Key"))), nil
+	stored := sha256.Sum256(hmacSHA256(salted, "Client Key"))
+	encode := base64.StdEncoding.EncodeToString
+	return fmt.Sprintf("%s$%d:%s$%s:%s", mechanism, minIterations,
+		encode(salt), encode(stored[:]), encode(hmacSHA256(salted, "Server Key"))), nil
 }
 
-func notPrintable(r rune) bool {
+func isInvalidKeyChar(r rune) bool {
 	return r <= ' ' || r > '~'
 }
 
-func mac(key []byte, text string) []byte {
+func hmacSHA256(key []byte, text string) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write([]byte(text))
 	return h.Sum(nil)
@@ -96,13 +97,13 @@
 // ParseVerifier takes a verifier apart. Its errors don't hold the verifier.
 func ParseVerifier(s string) (Verifier, error) {
 	parts := strings.Split(s, "$")
-	if len(parts) != 3 || parts[0] != scheme {
+	if len(parts) != 3 || parts[0] != mechanism {
 		return Verifier{}, errors.New("not a verifier")
 	}
 	count, salt, _ := strings.Cut(parts[1], ":")
 	n, err := strconv.Atoi(count)
-	if err != nil || n < iterations || n > maxIterations {
-		return Verifier{}, fmt.Errorf("iterations are not from %d to %d", iterations, maxIterations)
+	if err != nil || n < minIterations || n > maxIterations {
+		return Verifier{}, fmt.Errorf("iterations are not from %d to %d", minIterations, maxIterations)
 	}
 	stored, server, _ := strings.Cut(parts[2], ":")
 	v := Verifier{Iterations: n}
@@ -112,7 +113,7 @@
 		low  int
 		high int
 	}{
-		{&v.Salt, salt, minSalt, maxSalt},
+		{&v.Salt, salt, minSaltSize, maxSaltSize},
 		{&v.StoredKey, stored, sha256.Size, sha256.Size},
 		{&v.ServerKey, server, sha256.Size, sha256.Size},
 	} {
--- a/core/inifile/inifile.go
+++ b/core/inifile/inifile.go
@@ -60,12 +60,12 @@
 type File struct {
 	name     string
 	ini      *ini.File
-	lines    map[place]int
+	lines    map[location]int
 	mistakes Mistakes
 }
 
-// place is a section, or a key of one.
-type place struct{ section, key string }
+// location is a section, or a key of one.
+type location struct{ section, key string }
 
 // MaxSize is the most bytes that a file may have: the platform's store holds
 // values of up to a megabyte.
@@ -75,23 +75,23 @@
 // the quotes around them taken off, and no escapes, continued lines or
 // references to other keys.
 func Read(name string, text []byte) *File {
-	f := &File{name: name, lines: map[place]int{}}
+	f := &File{name: name, lines: map[location]int{}}
 	if len(text) > MaxSize {
-		f.Missing("", "", fmt.Sprintf("at most %d bytes", MaxSize))
+		f.AddMissing("", "", fmt.Sprintf("at most %d bytes", MaxSize))
 		text = nil
 	}
 	f.scan(string(text))
-	g, err := ini.LoadSources(ini.LoadOptions{
+	parsed, err := ini.LoadSources(ini.LoadOptions{
 		IgnoreContinuation:       true,
 		KeyValueDelimiters:       "=",
 		SkipUnrecognizableLines:  true,
 		SpaceBeforeInlineComment: true,
 	}, text)
 	if err != nil {
-		f.Missing("", "", "INI text")
-		g = ini.Empty()
+		f.AddMissing("", "", "INI text")
+		parsed = ini.Empty()
 	}
-	f.ini = g
+	f.ini = parsed
 	return f
 }
 
@@ -116,27 +116,27 @@
 func (f *File) scanSection(n int, line string) string {
 	end := strings.LastIndexByte(line, ']')
 	if end < 0 {
-		f.add(n, "", "", "", "a section's name between [ and ]")
+		f.addMistake(n, "", "", "", "a section's name between [ and ]")
 		return ""
 	}
 	s := strings.TrimSpace(line[1:end])
-	f.place(n, s, "")
+	f.recordLine(n, s, "")
 	return s
 }
 
 func (f *File) scanKey(n int, section, line string) {
 	key, _, ok := strings.Cut(line, "=")
 	if !ok {
-		f.add(n, section, "", "", "key = value")
+		f.addMistake(n, section, "", "", "key = value")
 		return
 	}
-	f.place(n, section, strings.TrimSpace(key))
+	f.recordLine(n, section, strings.TrimSpace(key))
 }
 
-func (f *File) place(n int, section, key string) {
-	p := place{section, key}
+func (f *File) recordLine(n int, section, key string) {
+	p := location{section, key}
 	if first, ok := f.lines[p]; ok {
-		f.add(n, section, key, "it a second time", fmt.Sprintf("it once, at line %d", first))
+		f.addMistake(n, section, key, "it a second time", fmt.Sprintf("it once, at line %d", first))
 		return
 	}
 	f.lines[p] = n
@@ -156,7 +156,7 @@
 // Section returns the section of that name for reading; a section that isn't
 // there reads as an empty one.
 func (f *File) Section(name string) *Section {
-	s := &Section{f: f, name: name, read: map[string]bool{}}
+	s := &Section{file: f, name: name, requested: map[string]bool{}}
 	if f.ini.HasSection(name) {
 		s.ini = f.ini.Section(name)
 	}
@@ -165,27 +165,27 @@
 
 // Line returns the line of a key, or of a section if key is empty.
 func (f *File) Line(section, key string) int {
-	if n, ok := f.lines[place{section, key}]; ok {
+	if n, ok := f.lines[location{section, key}]; ok {
 		return n
 	}
-	return f.lines[place{section, ""}]
+	return f.lines[location{section, ""}]
 }
 
-// Wrong records that found stands at a key in place of what was expected. Found
+// AddInvalid records that found stands at a key in place of what was expected. Found
 // stays empty where it may be a secret.
-func (f *File) Wrong(section, key, found, expected string) {
-	f.add(f.Line(section, key), section, key, found, expected)
+func (f *File) AddInvalid(section, key, found, expected string) {
+	f.addMistake(f.Line(section, key), section, key, found, expected)
 }
 
-// Missing records that something expected isn't there.
-func (f *File) Missing(section, key, expected string) {
-	f.Wrong(section, key, "nothing", expected)
+// AddMissing records that something expected isn't there.
+func (f *File) AddMissing(section, key, expected string) {
+	f.AddInvalid(section, key, "nothing", expected)
 }
 
-// add records a mistake. The name of a key is left out where it doesn't look like
+// addMistake records a mistake. The name of a key is left out where it doesn't look like
 // one: on a line without its key, a secret that holds = would pass for a name.
-func (f *File) add(line int, section, key, found, expected string) {
-	if !isKey(key) {
+func (f *File) addMistake(line int, section, key, found, expected string) {
+	if !looksLikeKey(key) {
 		key = ""
 	}
 	f.mistakes = append(f.mistakes, Mistake{
@@ -193,23 +193,23 @@
 	})
 }
 
-// longestKey is longer than any key's name and shorter than a secret ought to
+// maxKeyLength is longer than any key's name and shorter than a secret ought to
 // be.
-const longestKey = 32
+const maxKeyLength = 32
 
-func isKey(key string) bool {
+func looksLikeKey(key string) bool {
 	for p := range strings.SplitSeq(key, ".") {
 		if !IsName(strings.ToLower(p)) {
 			return false
 		}
 	}
-	return len(key) <= longestKey
+	return len(key) <= maxKeyLength
 }
 
-// Stray records the keys that stand before the first section.
-func (f *File) Stray() {
+// RejectKeysOutsideSections records the keys that stand before the first section.
+func (f *File) RejectKeysOutsideSections() {
 	for _, k := range f.ini.Section(ini.DefaultSection).Keys() {
-		f.Wrong("", k.Name(), "a key outside any section", "it in a section")
+		f.AddInvalid("", k.Name(), "a key outside any section", "it in a section")
 	}
 }
 
@@ -224,9 +224,9 @@
 
 // In returns the mistakes as those of another file name.
 func (m Mistakes) In(file string) Mistakes {
-	o := slices.Clone(m)
-	for n := range o {
-		o[n].File = file
+	out := slices.Clone(m)
+	for n := range out {
+		out[n].File = file
 	}
-	return o
+	return out
 }
--- a/core/inifile/section.go
+++ b/core/inifile/section.go
@@ -12,13 +12,13 @@
 )
 
 // Section reads the keys of one section and notes which were asked for, so that
-// Unknown can refuse the rest.
+// RejectUnknownKeys can reject the rest.
 type Section struct {
-	f    *File
-	ini  *ini.Section
-	name string
-	read map[string]bool
-	keys []string
+	file          *File
+	ini           *ini.Section
+	name          string
+	requested     map[string]bool
+	requestedKeys []string
 }
 
 // Has reports whether the section has the key.
@@ -36,9 +36,9 @@
 
 // Value returns the value of key and whether it stands there and isn't empty.
 func (s *Section) Value(key string) (string, bool) {
-	if !s.read[key] {
-		s.read[key] = true
-		s.keys = append(s.keys, key)
+	if !s.requested[key] {
+		s.requested[key] = true
+		s.requestedKeys = append(s.requestedKeys, key)
 	}
 	if !s.Has(key) {
 		return "", false
@@ -47,22 +47,22 @@
 	return v, v != ""
 }
 
-// Wrong records a mistake at key.
-func (s *Section) Wrong(key, found, expected string) {
-	s.f.Wrong(s.name, key, found, expected)
+// AddInvalid records a mistake at key.
+func (s *Section) AddInvalid(key, found, expected string) {
+	s.file.AddInvalid(s.name, key, found, expected)
 }
 
-// Missing records that key has to be there.
-func (s *Section) Missing(key, expected string) {
-	s.f.Missing(s.name, key, expected)
+// AddMissing records that key has to be there.
+func (s *Section) AddMissing(key, expected string) {
+	s.file.AddMissing(s.name, key, expected)
 }
 
-// Unknown records every key that wasn't asked for. What they hold is not shown:
+// RejectUnknownKeys records every key that wasn't asked for. What they hold is not shown:
 // a key under a mistaken name may be a secret.
-func (s *Section) Unknown() {
+func (s *Section) RejectUnknownKeys() {
 	for _, k := range s.Keys() {
-		if !s.read[k] {
-			s.Wrong(k, "an unknown key", "one of "+strings.Join(s.keys, ", "))
+		if !s.requested[k] {
+			s.AddInvalid(k, "an unknown key", "one of "+strings.Join(s.requestedKeys, ", "))
 		}
 	}
 }
@@ -79,7 +79,7 @@
 func (s *Section) Required(key, expected string) string {
 	v, ok := s.Value(key)
 	if !ok {
-		s.Missing(key, expected)
+		s.AddMissing(key, expected)
 	}
 	return v
 }
@@ -88,7 +88,7 @@
 func (s *Section) Name(key string) string {
 	v := s.Required(key, NameForm)
 	if v != "" && !IsName(v) {
-		s.Wrong(key, strconv.Quote(v), NameForm)
+		s.AddInvalid(key, strconv.Quote(v), NameForm)
 	}
 	return v
 }
@@ -101,7 +101,7 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil || n < low || n > high {
-		s.Wrong(key, strconv.Quote(v), fmt.Sprintf("a whole number from %d to %d", low, high))
+		s.AddInvalid(key, strconv.Quote(v), fmt.Sprintf("a whole number from %d to %d", low, high))
 		return def
 	}
 	return n
@@ -116,7 +116,7 @@
 	n, err := strconv.ParseFloat(v, 64)
 	// Written this way round, NaN is refused too.
 	if err != nil || !(n >= low && n <= high) {
-		s.Wrong(key, strconv.Quote(v), fmt.Sprintf("a number from %g to %g", low, high))
+		s.AddInvalid(key, strconv.Quote(v), fmt.Sprintf("a number from %g to %g", low, high))
 		return def
 	}
 	return n
@@ -129,7 +129,7 @@
 		return def
 	}
 	if v != "true" && v != "false" {
-		s.Wrong(key, strconv.Quote(v), "true or false")
+		s.AddInvalid(key, strconv.Quote(v), "true or false")
 		return def
 	}
 	return v == "true"
@@ -143,7 +143,7 @@
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d < low || d > high {
-		s.Wrong(key, strconv.Quote(v), fmt.Sprintf("a duration with its unit from %s to %s, such as %s", low, high, def))
+		s.AddInvalid(key, strconv.Quote(v), fmt.Sprintf("a duration with its unit from %s to %s, such as %s", low, high, def))
 		return def
 	}
 	return d
@@ -164,7 +164,7 @@
 	if n, ok := parseSize(v); ok && n >= low && n <= high {
 		return n
 	}
-	s.Wrong(key, strconv.Quote(v), fmt.Sprintf("a size in B, KiB or MiB from %d B to %d B, such as 64KiB", low, high))
+	s.AddInvalid(key, strconv.Quote(v), fmt.Sprintf("a size in B, KiB or MiB from %d B to %d B, such as 64KiB", low, high))
 	return def
 }
 
@@ -187,7 +187,7 @@
 		return def
 	}
 	if !slices.Contains(values, v) {
-		s.Wrong(key, strconv.Quote(v), "one of "+strings.Join(values, ", "))
+		s.AddInvalid(key, strconv.Quote(v), "one of "+strings.Join(values, ", "))
 		return def
 	}
 	return v
@@ -197,7 +197,7 @@
 func (s *Section) Address(key string) string {
 	v := s.Required(key, AddressForm)
 	if v != "" && !IsAddress(v) {
-		s.Wrong(key, strconv.Quote(v), AddressForm)
+		s.AddInvalid(key, strconv.Quote(v), AddressForm)
 	}
 	return v
 }
@@ -207,7 +207,7 @@
 	l := s.List(key)
 	for _, a := range l {
 		if !IsAddress(a) {
-			s.Wrong(key, strconv.Quote(a), "a list of addresses, each "+AddressForm)
+			s.AddInvalid(key, strconv.Quote(a), "a list of addresses, each "+AddressForm)
 		}
 	}
 	return l
@@ -231,13 +231,13 @@
 	NameForm    = "a name of lower-case letters, digits and single hyphens"
 	AddressForm = "an IP address and port, such as 10.0.0.1:6432"
 
-	maxName = 63
+	maxNameLength = 63
 )
 
 // IsName reports whether s is a name in kebab case. Names go into store keys,
 // metrics and the protocol's strings, so they have nothing to escape.
 func IsName(s string) bool {
-	if s == "" || len(s) > maxName {
+	if s == "" || len(s) > maxNameLength {
 		return false
 	}
 	for _, p := range strings.Split(s, "-") {
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -146,9 +146,9 @@
 	DefaultStoreTimeout   = 3 * time.Second
 	DefaultUser           = "skylarkdeal"
 
-	maxSessions  = 1 << 20
-	smallestSize = 1 << 10
-	largestSize  = 1 << 30
+	maxSessions = 1 << 20
+	minSize     = 1 << 10
+	maxSize     = 1 << 30
 )
 
 // Parse reads the settings in text; file is what mistakes call it. The error
@@ -156,27 +156,27 @@
 func Parse(file string, text []byte) (*Settings, error) {
 	f := inifile.Read(file, text)
 	s := &Settings{
-		Host:     host(f.Section("host")),
-		Caller:   caller(f.Section("caller")),
-		Peer:     peer(f.Section("peer")),
-		Operator: operator(f.Section("operator")),
-		Store:    store(f.Section("store")),
-		Upstream: upstream(f.Section("upstream")),
-		Adapter:  adapter(f.Section("adapter")),
-		Log:      log(f.Section("log")),
-		Regions:  regions(f.Section("regions")),
+		Host:     parseHost(f.Section("host")),
+		Caller:   parseCaller(f.Section("caller")),
+		Peer:     parsePeer(f.Section("peer")),
+		Operator: parseOperator(f.Section("operator")),
+		Store:    parseStore(f.Section("store")),
+		Upstream: parseUpstream(f.Section("upstream")),
+		Adapter:  parseAdapter(f.Section("adapter")),
+		Log:      parseLog(f.Section("log")),
+		Regions:  parseRegions(f.Section("regions")),
 	}
-	f.Stray()
+	f.RejectKeysOutsideSections()
 	known := []string{"host", "caller", "peer", "operator", "store", "upstream", "adapter", "log", "regions"}
 	for _, n := range f.Sections() {
 		if !slices.Contains(known, n) {
-			f.Wrong(n, "", "an unknown section", "one of "+strings.Join(known, ", "))
+			f.AddInvalid(n, "", "an unknown section", "one of "+strings.Join(known, ", "))
 		}
 	}
 	return s, f.Err()
 }
 
-func regions(s *inifile.Section) map[fleet.DataCentre]fleet.Region {
+func parseRegions(s *inifile.Section) map[fleet.DataCentre]fleet.Region {
 	out := map[fleet.DataCentre]fleet.Region{}
 	for _, k := range s.Keys() {
 		out[fleet.DataCentre(k)] = fleet.Region(s.Required(k, "the name of its region"))
@@ -184,27 +184,27 @@
 	return out
 }
 
-func host(s *inifile.Section) Host {
-	defer s.Unknown()
+func parseHost(s *inifile.Section) Host {
+	defer s.RejectUnknownKeys()
 	return Host{
 		Name:       fleet.Host(s.Name("name")),
 		DataCentre: fleet.DataCentre(s.Name("data-centre")),
 	}
 }
 
-func caller(s *inifile.Section) Caller {
-	defer s.Unknown()
+func parseCaller(s *inifile.Section) Caller {
+	defer s.RejectUnknownKeys()
 	return Caller{
 		Address:        s.Address("address"),
 		MaxSessions:    s.Int("max-sessions", DefaultMaxSessions, 1, maxSessions),
-		MaxMessage:     s.Size("max-message", DefaultMaxMessage, smallestSize, largestSize),
+		MaxMessage:     s.Size("max-message", DefaultMaxMessage, minSize, maxSize),
 		StartupTimeout: s.Duration("startup-timeout", DefaultStartupTimeout, 100*time.Millisecond, time.Minute),
-		MaxUnread:      s.Size("max-unread", DefaultMaxUnread, smallestSize, largestSize),
+		MaxUnread:      s.Size("max-unread", DefaultMaxUnread, minSize, maxSize),
 	}
 }
 
-func peer(s *inifile.Section) Peer {
-	defer s.Unknown()
+func parsePeer(s *inifile.Section) Peer {
+	defer s.RejectUnknownKeys()
 	return Peer{
 		Address:    s.Address("address"),
 		SecretFile: s.String("secret-file", ""),
@@ -212,43 +212,43 @@
 	}
 }
 
-func operator(s *inifile.Section) Operator {
-	defer s.Unknown()
+func parseOperator(s *inifile.Section) Operator {
+	defer s.RejectUnknownKeys()
 	return Operator{Address: s.Address("address"), Pprof: s.Bool("pprof", false)}
 }
 
-func store(s *inifile.Section) Store {
-	defer s.Unknown()
+func parseStore(s *inifile.Section) Store {
+	defer s.RejectUnknownKeys()
 	e := s.Addresses("endpoints")
 	if len(e) == 0 {
-		s.Missing("endpoints", "a list of addresses, each "+inifile.AddressForm)
+		s.AddMissing("endpoints", "a list of addresses, each "+inifile.AddressForm)
 	}
 	return Store{
 		Endpoints: e,
-		Prefix:    prefix(s),
-		HostList:  hostList(s),
+		Prefix:    parsePrefix(s),
+		HostList:  parseHostList(s),
 		Timeout:   s.Duration("timeout", DefaultStoreTimeout, 10*time.Millisecond, 30*time.Second),
 	}
 }
 
-func prefix(s *inifile.Section) string {
+func parsePrefix(s *inifile.Section) string {
 	p := s.String("prefix", DefaultPrefix)
 	if len(p) < 2 || p[0] != '/' || p[len(p)-1] != '/' {
-		s.Wrong("prefix", strconv.Quote(p), "a path between slashes, such as "+DefaultPrefix)
+		s.AddInvalid("prefix", strconv.Quote(p), "a path between slashes, such as "+DefaultPrefix)
 	}
 	return p
 }
 
-func hostList(s *inifile.Section) string {
+func parseHostList(s *inifile.Section) string {
 	k := s.String("host-list", "")
 	if k != "" && k[0] != '/' {
-		s.Wrong("host-list", strconv.Quote(k), "a key of the store, such as /platform/hosts")
+		s.AddInvalid("host-list", strconv.Quote(k), "a key of the store, such as /platform/hosts")
 	}
 	return k
 }
 
-func upstream(s *inifile.Section) Upstream {
-	defer s.Unknown()
+func parseUpstream(s *inifile.Section) Upstream {
+	defer s.RejectUnknownKeys()
 	return Upstream{User: s.String("user", DefaultUser), PasswordFile: s.String("password-file", "")}
 }
 
@@ -265,29 +265,29 @@
 	DefaultColdOvershoot = 1.0
 	DefaultColdSlack     = 0
 
-	mostColdOvershoot = 100
-	mostColdSlack     = 10000
+	maxColdOvershoot = 100
+	maxColdSlack     = 10000
 
-	// mostCapacity is more cores than any host has.
-	mostCapacity = 1 << 10
+	// maxCapacity is more cores than any host has.
+	maxCapacity = 1 << 10
 
-	smallestMemory = 32 << 20
-	largestMemory  = 1 << 40
+	minMemory = 32 << 20
+	maxMemory = 1 << 40
 )
 
-func adapter(s *inifile.Section) Adapter {
-	defer s.Unknown()
+func parseAdapter(s *inifile.Section) Adapter {
+	defer s.RejectUnknownKeys()
 	a := Adapter{Kind: AdapterKind(s.OneOf("kind", string(AdapterNone), string(AdapterNone), string(AdapterPlatform)))}
 	a.Grace = s.Duration("grace", DefaultGrace, time.Second, time.Hour)
 	a.RateWindow = s.Duration("rate-window", DefaultRateWindow, time.Second, time.Hour)
 	a.PromotionLeast = s.Duration("promotion-least", DefaultPromotionLeast, 0, time.Minute)
 	a.PromotionDelay = s.Duration("promotion-delay", DefaultPromotionDelay, a.PromotionLeast, time.Minute)
-	a.Memory = s.Size("memory", DefaultMemory, smallestMemory, largestMemory)
-	a.Capacity = fleet.Capacity(s.Float("capacity", 0, 0, mostCapacity))
+	a.Memory = s.Size("memory", DefaultMemory, minMemory, maxMemory)
+	a.Capacity = fleet.Capacity(s.Float("capacity", 0, 0, maxCapacity))
 	a.Evacuate = s.Duration("evacuate", DefaultEvacuate, time.Second, time.Hour)
 	a.Cold = cold.Limit{
-		Overshoot: s.Float("cold-overshoot", DefaultColdOvershoot, 0, mostColdOvershoot),
-		Slack:     s.Int("cold-slack", DefaultColdSlack, 0, mostColdSlack),
+		Overshoot: s.Float("cold-overshoot", DefaultColdOvershoot, 0, maxColdOvershoot),
+		Slack:     s.Int("cold-slack", DefaultColdSlack, 0, maxColdSlack),
 	}
 	if a.Kind == AdapterPlatform || s.Has("balancer") {
 		a.Balancer = s.Address("balancer")
@@ -298,8 +298,8 @@
 	return a
 }
 
-func log(s *inifile.Section) Log {
-	defer s.Unknown()
+func parseLog(s *inifile.Section) Log {
+	defer s.RejectUnknownKeys()
 	return Log{Level: Level(s.OneOf("level", string(LevelInfo),
 		string(LevelDebug), string(LevelInfo), string(LevelWarn), string(LevelError)))}
 }
