--- a/core/document/diff.go
+++ b/core/document/diff.go
@@ -5,11 +5,12 @@
 	"strings"
 )
 
-// maxLCSCells bounds the work of Diff; beyond it whole texts are shown.
+// maxLCSCells limits the size of the table that Diff computes. Where the table would be
+// larger, Diff shows all lines after the common start as removed and added.
 const maxLCSCells = 4_000_000
 
-// Diff returns the lines in which b differs from a, marked - and +, each with
-// its section. What stands at a key of an account is left out.
+// Diff returns the lines removed from before, marked -, and those added in after,
+// marked +, under their sections. Verifiers are redacted.
 func Diff(before, after []byte) string {
 	oldLines, newLines := splitLines(before), splitLines(after)
 	var out strings.Builder
@@ -37,13 +38,16 @@
 	return out.String()
 }
 
-// line is one line of a text, with the line of the section that it is in.
+// line is one line of a document, without the spaces around it.
 type line struct {
-	section  string
-	text     string
+	// section is the header line of the section that the line is in.
+	section string
+	text    string
+	// redacted is text without the verifier, if it has one.
 	redacted string
 }
 
+// splitLines returns the lines of text that are not empty.
 func splitLines(text []byte) []line {
 	var l []line
 	section := ""
@@ -68,7 +72,8 @@
 	return s
 }
 
-// lcsLengths returns the lengths of the longest common subsequences of all tails.
+// lcsLengths returns a table whose entry [i][j] is the length of the longest common
+// subsequence of oldLines[i:] and newLines[j:].
 func lcsLengths(oldLines, newLines []line) [][]int32 {
 	lengths := make([][]int32, len(oldLines)+1)
 	for n := range lengths {
@@ -86,6 +91,8 @@
 	return lengths
 }
 
+// writeEdits calls show for each line that is not in the longest common subsequence, in
+// order. lengths is the result of lcsLengths.
 func writeEdits(oldLines, newLines []line, lengths [][]int32, show func(mark string, l line)) {
 	i, j := 0, 0
 	for i < len(oldLines) || j < len(newLines) {
--- a/core/document/document.go
+++ b/core/document/document.go
@@ -1,5 +1,5 @@
-// Package document holds the operators' documents: their form, their checks and
-// the rule by which a host takes up a newer version.
+// Package document parses and validates the configuration documents of services
+// and decides when a host adopts a newer version of one.
 package document
 
 import (
@@ -8,50 +8,52 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Acknowledge says what a write has to have reached before it is acknowledged.
+// Acknowledge is the condition that a write has to meet before it is acknowledged.
 type Acknowledge string
 
-// The rules of acknowledgement.
+// The conditions for acknowledging a write.
 const (
 	// AcknowledgeReplicated waits until a majority of the instances has the
 	// write, so that no promotion can lose it.
 	AcknowledgeReplicated Acknowledge = "replicated"
-	// AcknowledgePrimary waits only for proof that the primary was still the
-	// primary after the commit. The loss of the primary may lose the write.
+	// AcknowledgePrimary waits only until the primary is confirmed to have still
+	// been the primary after the commit. Losing the primary may lose the write.
 	AcknowledgePrimary Acknowledge = "primary"
 )
 
-// CutOff says what a host does with a document that it can no longer confirm
-// with the store or any peer.
+// CutOff is what a host does with a service whose document neither the store nor
+// a peer has confirmed as the newest for CutOffAfter.
 type CutOff string
 
-// The ways to go on when cut off.
+// The behaviours of a host that is cut off.
 const (
+	// CutOffServe goes on serving by the last known document.
 	CutOffServe CutOff = "serve"
-	CutOffStop  CutOff = "stop"
+	// CutOffStop stops serving the service until its document is confirmed again.
+	CutOffStop CutOff = "stop"
 )
 
-// Version orders the versions of one document: the store's revision of its last
-// change.
+// Version orders the versions of one document. It is the store's revision of the
+// document's last change, plus the Base of its Stamp.
 type Version uint64
 
-// Document is what a service's owners have laid down. It is never changed once
-// it is parsed.
+// Document is the configuration of one service, written by the service's owners.
+// It is immutable once parsed.
 type Document struct {
 	Service     fleet.Service
 	Version     Version
 	Acknowledge Acknowledge
 	// Holders is how many hosts hold connections to the group.
 	Holders int
-	// StatementTimeout is the deadline of a statement.
+	// StatementTimeout limits how long one statement may take.
 	StatementTimeout time.Duration
-	// CutOff applies once the document couldn't be confirmed for CutOffAfter.
+	// CutOff applies once the document has not been confirmed for CutOffAfter.
 	CutOff      CutOff
 	CutOffAfter time.Duration
-	// DataCentres share out the floors of the accounts' rates.
+	// DataCentres are those among which the rate and burst of each account are divided.
 	DataCentres []fleet.DataCentre
-	// Evacuated are the data centres whose instances are to get no new work, whatever each of them
-	// says.
+	// Evacuated are the data centres whose instances get no new work, whatever the leaving key of
+	// each instance says.
 	Evacuated []fleet.DataCentre
 	Instances []Instance
 	Accounts  []Account
@@ -63,36 +65,37 @@
 	// Address is an IP address and port.
 	Address    string
 	DataCentre fleet.DataCentre
-	// Slots is how many statements the instance works on at a time.
+	// Slots is how many statements the instance runs at a time.
 	Slots int
-	// Connections is the most that the instance accepts.
+	// Connections is the most connections that the instance accepts.
 	Connections int
-	// Leaving is set when the instance is to get no new work, by itself or with its data centre.
+	// Leaving is set when the instance is to get no new work, because its own section says so or
+	// because its data centre is evacuated.
 	Leaving bool
 }
 
 // Account is one client account of the service.
 type Account struct {
 	Name fleet.Account
-	// Rate is in requests a second over the whole fleet.
+	// Rate is in requests per second over the whole fleet.
 	Rate float64
 	// Burst is how many requests may come at once over the whole fleet.
 	Burst float64
-	// MaxSessions bounds the account's open sessions on one host; zero leaves
-	// only the host's own bound.
+	// MaxSessions limits the account's open sessions on one host. Zero means that
+	// only the host's own limit applies.
 	MaxSessions int
 	Keys        []Key
 }
 
-// Key is the verifier of one of an account's keys; the key itself is nowhere in
-// the system.
+// Key is the name and verifier of one of an account's keys. The key itself is not
+// stored anywhere in the system.
 type Key struct {
 	Name string
-	// Verifier has PostgreSQL's form of a SCRAM-SHA-256 secret.
+	// Verifier is a SCRAM-SHA-256 secret in PostgreSQL's format.
 	Verifier string
 }
 
-// Account returns the account of that name.
+// Account returns the account named n, and whether there is one.
 func (d *Document) Account(n fleet.Account) (Account, bool) {
 	for _, a := range d.Accounts {
 		if a.Name == n {
@@ -102,7 +105,7 @@
 	return Account{}, false
 }
 
-// Instance returns the instance of that name.
+// Instance returns the instance named n, and whether there is one.
 func (d *Document) Instance(n fleet.Instance) (Instance, bool) {
 	for _, i := range d.Instances {
 		if i.Name == n {
--- a/core/document/document_test.go
+++ b/core/document/document_test.go
@@ -46,7 +46,7 @@
 func TestMistakesCarryTheirPlace(t *testing.T) {
 	c := qt.New(t)
 	text := sampleDocument(c)
-	for _, t := range []struct{ old, change, want string }{
+	for _, t := range []struct{ old, replacement, want string }{
 		{"acknowledge = replicated", "acknowledge = all", `[service] acknowledge: found "all", expected one of replicated`},
 		{"holders = 3", "holders = 0", `[service] holders: found "0", expected a whole number from 1`},
 		{"statement-timeout = 10s", "statement-timeout = 10", `found "10", expected a duration`},
@@ -70,10 +70,10 @@
 		{"key.autumn = ", "tomato ", `[account "hotel"]`},
 	} {
 		c.Assert(strings.Contains(text, t.old), qt.IsTrue, qt.Commentf("%s", t.old))
-		wrong := strings.Replace(text, t.old, t.change, 1)
-		_, err := document.Parse([]byte(wrong), 1)
-		c.Assert(err, qt.IsNotNil, qt.Commentf("%q", t.change))
-		c.Check(err.Error(), qt.Contains, t.want, qt.Commentf("%q", t.change))
+		invalid := strings.Replace(text, t.old, t.replacement, 1)
+		_, err := document.Parse([]byte(invalid), 1)
+		c.Assert(err, qt.IsNotNil, qt.Commentf("%q", t.replacement))
+		c.Check(err.Error(), qt.Contains, t.want, qt.Commentf("%q", t.replacement))
 		c.Check(err.Error(), qt.Not(qt.Contains), "tomato")
 		c.Check(err.Error(), qt.Not(qt.Contains), "4096:")
 		if strings.HasPrefix(t.want, "[service]") {
@@ -96,13 +96,13 @@
 	c := qt.New(t)
 	d, err := document.Parse([]byte(sampleDocument(c)), 7)
 	c.Assert(err, qt.IsNil)
-	again, err := document.Parse(d.Format(), 7)
+	reparsed, err := document.Parse(d.Format(), 7)
 	c.Assert(err, qt.IsNil)
-	c.Assert(again, qt.DeepEquals, d)
+	c.Assert(reparsed, qt.DeepEquals, d)
 }
 
-// A verifier that the command makes must let in a driver that knows the key, and
-// no other; the driver's side is checked by the library that drivers use.
+// Checks a new verifier against the SCRAM library that drivers use: a client with the
+// key authenticates, a client with another key doesn't.
 func TestVerifierMatchesTheKey(t *testing.T) {
 	c := qt.New(t)
 	key := document.NewKey()
@@ -185,22 +185,23 @@
 		if got := document.Diff([]byte(a), []byte(a)); got != "" {
 			t.Fatalf("a text differs from itself:\n%s", got)
 		}
-		gone, come := 0, 0
+		removed, added := 0, 0
 		for l := range strings.Lines(document.Diff([]byte(a), []byte(b))) {
 			switch l[0] {
 			case '-':
-				gone++
+				removed++
 			case '+':
-				come++
+				added++
 			}
 		}
-		if count(b)-count(a) != come-gone {
-			t.Fatalf("%d lines went and %d came between\n%s\n\nand\n\n%s", gone, come, a, b)
+		if countLines(b)-countLines(a) != added-removed {
+			t.Fatalf("%d lines removed and %d added between\n%s\n\nand\n\n%s", removed, added, a, b)
 		}
 	})
 }
 
-func count(s string) int {
+// countLines returns the number of lines of s that are not empty.
+func countLines(s string) int {
 	n := 0
 	for l := range strings.SplitSeq(s, "\n") {
 		if l != "" {
@@ -219,11 +220,11 @@
 		if err != nil {
 			return
 		}
-		again, err := document.Parse(d.Format(), 1)
+		reparsed, err := document.Parse(d.Format(), 1)
 		if err != nil {
-			t.Fatalf("what was parsed can't be parsed again: %v\n%s", err, d.Format())
+			t.Fatalf("the formatted document can't be parsed: %v\n%s", err, d.Format())
 		}
-		qt.New(t).Assert(again, qt.DeepEquals, d)
+		qt.New(t).Assert(reparsed, qt.DeepEquals, d)
 	})
 }
 
@@ -232,9 +233,9 @@
 	f.Add("; skylarkdeal seq=-1 base=99999999999999999999")
 	f.Fuzz(func(t *testing.T, value string) {
 		s, text := document.SplitStamp([]byte(value))
-		again, rest := document.SplitStamp(document.AddStamp(s, text))
-		if again.Seq != s.Seq || again.Base != s.Base || again.After != s.After || string(rest) != string(text) {
-			t.Fatalf("%+v and %q became %+v and %q", s, text, again, rest)
+		reparsed, rest := document.SplitStamp(document.AddStamp(s, text))
+		if reparsed.Seq != s.Seq || reparsed.Base != s.Base || reparsed.After != s.After || string(rest) != string(text) {
+			t.Fatalf("%+v and %q became %+v and %q", s, text, reparsed, rest)
 		}
 	})
 }
@@ -249,9 +250,9 @@
 	})
 }
 
-// A bakery's key is replaced by a second one with a salt of its own. A login offers
-// one salt, so callers with one of the two would be locked out for as long as both
-// stand: the document is refused, with the way to a fitting verifier.
+// Guards against locking out callers while a key is replaced. The server sends one salt
+// during a login, so of two keys with different salts only one works. Such a document is
+// rejected, and the error says how to make a verifier with the account's salt.
 func TestKeysOfAnAccountShareTheirSalt(t *testing.T) {
 	c := qt.New(t)
 	text := "[service]\nname = orders\ndata-centres = obihiro\n" +
@@ -265,15 +266,16 @@
 	_, err = document.Parse([]byte(fmt.Sprintf(text, spring, autumn)), 1)
 	c.Assert(err, qt.IsNil)
 
-	alone, err := document.NewVerifier("sample-autumn-key")
+	randomSalt, err := document.NewVerifier("sample-autumn-key")
 	c.Assert(err, qt.IsNil)
-	_, err = document.Parse([]byte(fmt.Sprintf(text, spring, alone)), 1)
+	_, err = document.Parse([]byte(fmt.Sprintf(text, spring, randomSalt)), 1)
 	want := `(?s).*:10: \[account "bakery"\] key.autumn: found a salt other than that of key.spring.*`
 	c.Assert(err, qt.ErrorMatches, want)
-	c.Assert(err.Error(), qt.Not(qt.Contains), alone)
+	c.Assert(err.Error(), qt.Not(qt.Contains), randomSalt)
 }
 
-// Guards against an evacuation that leaves an instance in use, or names a data centre by mistake.
+// Guards against an evacuation that leaves an instance in use, or that names a data centre
+// without instances by mistake.
 func TestEvacuatedDataCentre(t *testing.T) {
 	c := qt.New(t)
 	b, err := os.ReadFile(filepath.Join("..", "..", "docs", "sample", "orders.ini"))
@@ -284,9 +286,9 @@
 	for _, i := range d.Instances {
 		c.Check(i.Leaving, qt.Equals, i.DataCentre == "obihiro", qt.Commentf("%s", i.Name))
 	}
-	again, err := document.Parse(d.Format(), 3)
+	reparsed, err := document.Parse(d.Format(), 3)
 	c.Assert(err, qt.IsNil)
-	c.Assert(again, qt.DeepEquals, d)
+	c.Assert(reparsed, qt.DeepEquals, d)
 	_, err = document.Parse([]byte(strings.Replace(text, "\nevacuated = obihiro", "\nevacuated = nowhere", 1)), 3)
 	c.Assert(err, qt.ErrorMatches, `(?s).*evacuated: found "nowhere", expected a data centre that has an instance.*`)
 }
--- a/core/document/parse.go
+++ b/core/document/parse.go
@@ -12,7 +12,7 @@
 	"skylarkdeal/core/inifile"
 )
 
-// The defaults of a document.
+// The values of keys that a document leaves out.
 const (
 	DefaultHolders          = 3
 	DefaultStatementTimeout = 10 * time.Second
@@ -21,8 +21,8 @@
 	DefaultConnections      = 16
 )
 
-// The bounds of a document. They keep a slip of a unit from passing as a
-// choice.
+// The limits on the values of a document. They reject values that were written in
+// the wrong unit by mistake.
 const (
 	maxHolders        = 64
 	maxConnections    = 10000
@@ -32,8 +32,8 @@
 	maxInstances      = 64
 	maxAccounts       = 4096
 	maxKeysPerAccount = 16
-	// minCutOffAfter is above the age that confirmations have by the time they
-	// have come from a watcher over several peers to the last host.
+	// minCutOffAfter is longer than a confirmation takes from a host that watches
+	// the store, through several peers, to the last host.
 	minCutOffAfter = 30 * time.Second
 	maxCutOffAfter = 30 * 24 * time.Hour
 )
@@ -44,8 +44,9 @@
 	sectionsFormat = `one of service, instance "<name>", account "<name>"`
 )
 
-// Parse reads the document in text; version is the store's. The error holds all
-// mistakes at once, as inifile.Mistakes, and never what stands at a key.
+// Parse parses the document in text as the given version. The error is an
+// inifile.Mistakes that lists all mistakes. It never contains the key or verifier
+// of an account.
 func Parse(text []byte, version Version) (*Document, error) {
 	f := inifile.Read("document", text)
 	d := &Document{Version: version}
@@ -99,7 +100,6 @@
 	s.RejectUnknownKeys()
 }
 
-// parseDataCentres reads a list of data centres.
 func parseDataCentres(s *inifile.Section, key string) []fleet.DataCentre {
 	var out []fleet.DataCentre
 	for _, n := range s.List(key) {
@@ -130,8 +130,8 @@
 	return i
 }
 
-// sameSalt reports whether two verifiers share their salt and iterations; what
-// isn't a verifier is another mistake.
+// sameSalt reports whether two verifiers have the same salt and iterations. It is
+// true if one of them is invalid, which is reported as a mistake of its own.
 func sameSalt(a, b string) bool {
 	x, errX := ParseVerifier(a)
 	y, errY := ParseVerifier(b)
@@ -165,7 +165,7 @@
 	return a
 }
 
-// rateUnits are the seconds of the units of a rate.
+// rateUnits maps each unit of a rate to its length in seconds.
 var rateUnits = map[string]float64{"s": 1, "m": 60, "h": 3600}
 
 func parseRate(s *inifile.Section) float64 {
@@ -183,7 +183,7 @@
 	return r / seconds
 }
 
-// checkWhole checks what no single section shows.
+// checkWhole makes the checks that involve more than one section.
 func checkWhole(f *inifile.File, d *Document) {
 	if n := len(d.Instances); n == 0 || n > maxInstances {
 		f.AddInvalid("", "", fmt.Sprintf("%d instances", n),
@@ -203,7 +203,8 @@
 	}
 }
 
-// markEvacuated marks the instances of evacuated data centres as leaving.
+// markEvacuated sets Leaving on the instances of evacuated data centres. An evacuated
+// data centre without an instance is a mistake.
 func markEvacuated(f *inifile.File, d *Document) {
 	for _, dc := range d.Evacuated {
 		isIn := func(i Instance) bool { return i.DataCentre == dc }
@@ -216,7 +217,7 @@
 	}
 }
 
-// Format returns d as text that Parse reads back to an equal document.
+// Format returns d as text that Parse turns into an equal document.
 func (d *Document) Format() []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[service]\nname = %s\nacknowledge = %s\nholders = %d\nstatement-timeout = %s\n",
--- a/core/document/stamp.go
+++ b/core/document/stamp.go
@@ -10,50 +10,53 @@
 	"skylarkdeal/core/fleet"
 )
 
-// StorePrefix returns what the store's keys of documents start with, root being that
-// of all keys; the service follows.
+// StorePrefix returns the prefix of the store keys of all documents. The name of the
+// service follows it. root is the prefix of all keys in the store.
 func StorePrefix(root string) string {
 	return root + "documents/"
 }
 
-// StoreKey returns the store's key of a service's document.
+// StoreKey returns the store key of the document of service s.
 func StoreKey(root string, s fleet.Service) string {
 	return StorePrefix(root) + string(s)
 }
 
-// Stamp is the first line of a document in the store, an INI comment. It says
-// which edit wrote it. A document written by other tools has none.
+// Stamp is metadata about the edit that wrote a document. It is the first line of
+// the document in the store, an INI comment. A document written by another tool
+// has none.
 type Stamp struct {
-	// Edit names the edit, so that its author can find out after a lost answer
-	// whether it took effect.
+	// Edit is the ID of the edit. When the store's response to a write is lost, the
+	// editor finds out by it whether the write took effect.
 	Edit string
-	// Seq counts the edits of the document.
+	// Seq is the number of the edit, counted from 1 for each document.
 	Seq uint64
-	// After is the version that the edit replaced, zero for none. Of all edits
-	// after one version the store takes one.
+	// After is the version that the edit replaced, zero if there was none. Of all
+	// edits that replace the same version, the store accepts one.
 	After Version
-	// Base is added to the store's revision. It stays zero until the store is
-	// reset to lower revisions, after which new versions would be taken for old.
+	// Base is added to the store's revision to give the version. It is zero until
+	// the store is reset to lower revisions, where new versions without it would
+	// look older than those in effect.
 	Base uint64
-	By   string
-	At   time.Time
+	// By is the author of the edit, and At the time at which it was made.
+	By string
+	At time.Time
 }
 
 const stampPrefix = "; skylarkdeal "
 
-// String returns the stamp's line, without its end.
+// String returns the stamp's line without a line break. Spaces in By become hyphens.
 func (s Stamp) String() string {
 	return fmt.Sprintf("%sedit=%s seq=%d after=%d base=%d by=%s at=%s", stampPrefix,
 		s.Edit, s.Seq, s.After, s.Base, strings.ReplaceAll(s.By, " ", "-"), s.At.UTC().Format(time.RFC3339))
 }
 
-// AddStamp returns text under the stamp, as it goes into the store.
+// AddStamp returns the value to write to the store: the stamp, then text.
 func AddStamp(s Stamp, text []byte) []byte {
 	return append([]byte(s.String()+"\n"), text...)
 }
 
-// SplitStamp takes the stamp off a document from the store. Without one the Stamp is
-// zero and text is all of it.
+// SplitStamp splits a value read from the store into its stamp and the document's
+// text. Without a stamp, the Stamp is zero and the text is all of value.
 func SplitStamp(value []byte) (Stamp, []byte) {
 	line, text, _ := bytes.Cut(value, []byte("\n"))
 	fields, ok := strings.CutPrefix(string(line), stampPrefix)
@@ -82,14 +85,15 @@
 	return s, text
 }
 
-// VersionAt returns the version of a document that the store holds at a
+// VersionAt returns the version of the document that the store holds as value at
 // revision.
 func VersionAt(value []byte, revision uint64) Version {
 	s, _ := SplitStamp(value)
 	return Version(s.Base + revision)
 }
 
-// RevisionOf returns the store's revision of a version.
+// RevisionOf returns the store's revision at which value was written as version v. It
+// is zero if v is not above the stamp's base.
 func RevisionOf(value []byte, v Version) uint64 {
 	s, _ := SplitStamp(value)
 	return uint64(v) - min(s.Base, uint64(v))
--- a/core/document/table.go
+++ b/core/document/table.go
@@ -14,10 +14,10 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Source is where a version has come from, such as "store" or "host h2".
+// Source is where a version was received from, such as "store" or "host h2".
 type Source string
 
-// Offer is one version of a document that has come to a host.
+// Offer is one version of a document that a host has received.
 type Offer struct {
 	Service fleet.Service
 	Version Version
@@ -40,38 +40,39 @@
 	Err error
 }
 
-// Verdict is what has become of an offer.
+// Verdict is the outcome of an offer.
 type Verdict string
 
-// The verdicts.
+// The outcomes of an offer.
 const (
-	// VerdictAdopted puts the version in effect.
+	// VerdictAdopted means that the version is now in effect.
 	VerdictAdopted Verdict = "adopted"
-	// VerdictKnown is for a version that is in effect, or rejected, already.
+	// VerdictKnown means that the version was already in effect or already rejected.
 	VerdictKnown Verdict = "known"
-	// VerdictStale is for a version older than the one in effect.
+	// VerdictStale means that the version is older than the one in effect.
 	VerdictStale Verdict = "stale"
-	// VerdictInvalid is for a newer version with mistakes.
+	// VerdictInvalid means that the version is newer, but has mistakes.
 	VerdictInvalid Verdict = "invalid"
-	// VerdictConflict is for another text under the version in effect.
+	// VerdictConflict means that the version is the one in effect, with another text.
 	VerdictConflict Verdict = "conflict"
 )
 
 // Documents holds the documents in effect on one host and decides which versions
 // come into effect. The zero Documents is empty.
 //
-// A version replaces only a lower one, so no order in which versions arrive,
-// from a stale peer, a store that answers from the past or one that was reset,
-// takes a host back. A version with mistakes changes nothing but Rejected: the
-// last good one goes on.
+// A version replaces only a lower one, so a host never reverts to an older version,
+// in whatever order versions arrive: from a stale peer, from a store that returns
+// old data, or from a store that was reset. An invalid version changes nothing but
+// the result of Rejected: the last valid one stays in effect.
 type Documents struct {
 	active   map[fleet.Service]ActiveDocument
 	rejected map[fleet.Service]RejectedOffer
-	// confirmedAt is when all that is held was last known to be the newest.
+	// confirmedAt is when all documents were last known to be the newest versions.
 	confirmedAt time.Time
 }
 
-// Offer decides on a version. The error says why one is invalid or in conflict.
+// Offer adopts the version in o if it is newer than the one in effect and valid. The
+// error says why a version is invalid or conflicts with the one in effect.
 func (d *Documents) Offer(o Offer, now time.Time) (Verdict, error) {
 	current, ok := d.active[o.Service]
 	if ok && o.Version < current.Document.Version {
@@ -109,7 +110,8 @@
 	}
 }
 
-// reject keeps the newest invalid version, for reports and for other hosts.
+// reject keeps the newest invalid version, for the reports to operators and for other
+// hosts that lack it.
 func (d *Documents) reject(o Offer, now time.Time, err error) {
 	if d.rejected == nil {
 		d.rejected = map[fleet.Service]RejectedOffer{}
@@ -119,27 +121,29 @@
 	}
 }
 
-// Get returns the document of a service that is in effect.
+// Get returns the document in effect for a service, and whether there is one.
 func (d *Documents) Get(s fleet.Service) (ActiveDocument, bool) {
 	a, ok := d.active[s]
 	return a, ok
 }
 
-// All returns the documents in effect, by service.
+// All returns the documents in effect, sorted by service.
 func (d *Documents) All() []ActiveDocument {
 	return slices.SortedFunc(maps.Values(d.active), func(a, b ActiveDocument) int {
 		return cmp.Compare(a.Document.Service, b.Document.Service)
 	})
 }
 
-// Rejected returns the newer versions that are invalid, by service.
+// Rejected returns the newest invalid version of each service that has one newer than
+// the version in effect, sorted by service.
 func (d *Documents) Rejected() []RejectedOffer {
 	return slices.SortedFunc(maps.Values(d.rejected), func(a, b RejectedOffer) int {
 		return cmp.Compare(a.Service, b.Service)
 	})
 }
 
-// Confirm records that at that time all that is held was the newest.
+// Confirm records that at that time all documents were the newest versions. Times
+// before the last confirmation have no effect.
 func (d *Documents) Confirm(at time.Time) {
 	if at.After(d.confirmedAt) {
 		d.confirmedAt = at
@@ -151,15 +155,15 @@
 	return d.confirmedAt
 }
 
-// KnownVersions is how far a host's knowledge of one document reaches.
+// KnownVersions holds the newest versions of one document that a host knows.
 type KnownVersions struct {
-	// Version is in effect, zero if none is.
+	// Version is the version in effect, zero if there is none.
 	Version Version
-	// Seen is the newest that has come, valid or not.
+	// Seen is the newest version received, valid or not.
 	Seen Version
 }
 
-// Known returns how far the knowledge of each document reaches.
+// Known returns the newest known versions of each document.
 func (d *Documents) Known() map[fleet.Service]KnownVersions {
 	k := make(map[fleet.Service]KnownVersions, len(d.active))
 	for s, a := range d.active {
@@ -171,8 +175,8 @@
 	return k
 }
 
-// Digest returns one number for all that Known tells. Hosts with equal sums know
-// the same, but for the odds of a hash of 64 bits.
+// Digest returns a 64-bit hash of the result of Known. Hosts with equal digests know
+// the same versions, except for hash collisions.
 func (d *Documents) Digest() uint64 {
 	sum := uint64(0)
 	for s, k := range d.Known() {
@@ -182,8 +186,8 @@
 	return sum
 }
 
-// Revision returns the highest revision of the store that is known from the
-// versions that have come.
+// Revision returns the highest store revision among the versions in effect and the
+// rejected ones.
 func (d *Documents) Revision() uint64 {
 	highest := uint64(0)
 	for _, a := range d.active {
@@ -195,8 +199,8 @@
 	return highest
 }
 
-// Missing returns what a host lacks whose knowledge is other, and the services
-// of which that host has more.
+// Missing compares d with the versions known to another host. It returns the versions
+// that the other host lacks, and the services of which it has a newer version than d.
 func (d *Documents) Missing(known map[fleet.Service]KnownVersions) (offers []Offer, wanted []fleet.Service) {
 	own := d.Known()
 	for s := range known {
@@ -219,7 +223,7 @@
 	return offers, wanted
 }
 
-// Offers returns all that is known of the services.
+// Offers returns the versions in effect and the rejected ones of the services.
 func (d *Documents) Offers(services []fleet.Service) []Offer {
 	var l []Offer
 	for _, s := range services {
@@ -238,12 +242,12 @@
 	return Offer{Service: s, Version: a.Document.Version, Text: a.Text, From: a.From}
 }
 
-// Stopped reports whether d is no longer to be served, having last been
-// confirmed at that time.
+// Stopped reports whether the service of d is no longer to be served, because d was
+// last confirmed more than CutOffAfter ago and its CutOff is CutOffStop.
 //
-// A host that is cut off can't learn that a key was revoked. Whether it goes
-// on with what it has, or stops after a while, is for the owners of the service
-// to weigh: lost work against a revoked key that still opens the door.
+// A host that is cut off can't learn that a key was revoked. The owners of the
+// service choose whether such a host goes on serving, so that a revoked key still
+// works, or stops after CutOffAfter, so that work is lost.
 func (d *Document) Stopped(confirmed, now time.Time) bool {
 	return d.CutOff == CutOffStop && now.Sub(confirmed) > d.CutOffAfter
 }
--- a/core/document/table_test.go
+++ b/core/document/table_test.go
@@ -12,8 +12,8 @@
 	"skylarkdeal/core/fleet"
 )
 
-// documentText returns a small document of a service that is told from others by its
-// number of holders; none makes an invalid one.
+// documentText returns a small document of service s. holders tells the documents of one
+// service apart; 0 makes an invalid document.
 func documentText(s fleet.Service, holders int) []byte {
 	return fmt.Appendf(nil, "[service]\nname = %s\nholders = %d\ndata-centres = x\n"+
 		"[instance \"a\"]\naddress = 10.0.0.1:1\ndata-centre = x\n", s, holders)
@@ -23,7 +23,7 @@
 
 func TestOfferVerdicts(t *testing.T) {
 	c := qt.New(t)
-	var table document.Documents
+	var documents document.Documents
 	for _, t := range []struct {
 		version  document.Version
 		text     []byte
@@ -40,19 +40,19 @@
 		{8, documentText("b", 1), document.VerdictInvalid, 6},
 		{9, documentText("a", 5), document.VerdictAdopted, 9},
 	} {
-		v, err := table.Offer(document.Offer{Service: "a", Version: t.version, Text: t.text}, start)
+		v, err := documents.Offer(document.Offer{Service: "a", Version: t.version, Text: t.text}, start)
 		c.Check(v, qt.Equals, t.want, qt.Commentf("version %d", t.version))
-		bad := t.want == document.VerdictInvalid || t.want == document.VerdictConflict
-		c.Check(err != nil, qt.Equals, bad)
-		h, _ := table.Get("a")
+		wantErr := t.want == document.VerdictInvalid || t.want == document.VerdictConflict
+		c.Check(err != nil, qt.Equals, wantErr)
+		h, _ := documents.Get("a")
 		c.Check(h.Document.Version, qt.Equals, t.inEffect)
 	}
-	c.Assert(table.Rejected(), qt.HasLen, 0)
+	c.Assert(documents.Rejected(), qt.HasLen, 0)
 }
 
-// A key was revoked in version 9 while this host was cut off. Its owners chose
-// cut-off = stop with 10 minutes, so that the key opens nothing here any longer
-// than that; with serve the host goes on.
+// Guards against a revoked key that goes on working on a host that is cut off. With
+// cut-off = stop and a cut-off-after of 10 minutes, the host stops serving once its last
+// confirmation is older than 10 minutes. With cut-off = serve it goes on serving.
 func TestStoppedWhenCutOff(t *testing.T) {
 	c := qt.New(t)
 	d := document.Document{CutOff: document.CutOffStop, CutOffAfter: 10 * time.Minute}
@@ -63,51 +63,52 @@
 	c.Check(d.Stopped(start, start.Add(time.Hour)), qt.IsFalse)
 }
 
-// simulation is a store and some hosts that hear of its changes in any order, twice
-// or never, from the store, from each other, and after restarts.
+// simulation is a store and several hosts. The hosts receive the versions in the store in
+// any order, repeatedly or never, from the store and from each other, and they restart.
 type simulation struct {
-	// versions are what the store has ever held, one service each line.
+	// versions are all versions that the store has ever held, of all services.
 	versions []document.Offer
 	hosts    []*document.Documents
-	// highest is the highest version that each host has had in effect.
+	// highest is, for each host, the highest version of each service that it has had in effect
+	// since its last restart.
 	highest []map[fleet.Service]document.Version
 }
 
-func (w *simulation) offer(t *rapid.T, host int, o document.Offer) {
-	_, _ = w.hosts[host].Offer(o, start)
-	for s := range w.highest[host] {
-		w.check(t, host, s)
+func (sim *simulation) offer(t *rapid.T, host int, o document.Offer) {
+	_, _ = sim.hosts[host].Offer(o, start)
+	for s := range sim.highest[host] {
+		sim.check(t, host, s)
 	}
-	w.check(t, host, o.Service)
+	sim.check(t, host, o.Service)
 }
 
-func (w *simulation) check(t *rapid.T, host int, s fleet.Service) {
-	h, ok := w.hosts[host].Get(s)
+func (sim *simulation) check(t *rapid.T, host int, s fleet.Service) {
+	h, ok := sim.hosts[host].Get(s)
 	if !ok {
-		if w.highest[host][s] > 0 {
+		if sim.highest[host][s] > 0 {
 			t.Fatalf("host %d lost service %s", host, s)
 		}
 		return
 	}
-	if h.Document.Version < w.highest[host][s] {
-		t.Fatalf("host %d reverted service %s from %d to %d", host, s, w.highest[host][s], h.Document.Version)
+	if h.Document.Version < sim.highest[host][s] {
+		t.Fatalf("host %d reverted service %s from %d to %d", host, s, sim.highest[host][s], h.Document.Version)
 	}
 	if _, err := document.Parse(h.Text, h.Document.Version); err != nil {
 		t.Fatalf("host %d has an invalid document in effect: %v", host, err)
 	}
-	w.highest[host][s] = h.Document.Version
+	sim.highest[host][s] = h.Document.Version
 }
 
-// A user sees a revoked key work again on one host only: it had taken the
-// change, then took an older version from a peer that was just back from a
-// pause, or from a lagging member of the store.
+// Guards against a host that adopts a version and later reverts to an older one, so that a
+// revoked key works again on this host. The older version comes from a peer that was
+// paused, or from a lagging member of the store.
 func TestAdoptionNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const hosts = 4
-		w := &simulation{}
+		sim := &simulation{}
 		for range hosts {
-			w.hosts = append(w.hosts, &document.Documents{})
-			w.highest = append(w.highest, map[fleet.Service]document.Version{})
+			sim.hosts = append(sim.hosts, &document.Documents{})
+			sim.highest = append(sim.highest, map[fleet.Service]document.Version{})
 		}
 		host := rapid.IntRange(0, hosts-1)
 		revision := uint64(1)
@@ -115,7 +116,7 @@
 			"edit": func(t *rapid.T) {
 				revision++
 				s := rapid.SampledFrom([]fleet.Service{"a", "b"}).Draw(t, "service")
-				w.versions = append(w.versions, document.Offer{
+				sim.versions = append(sim.versions, document.Offer{
 					Service: s, Version: document.Version(revision), From: "store",
 					Text: documentText(s, rapid.IntRange(0, 3).Draw(t, "holders")),
 				})
@@ -124,29 +125,29 @@
 				revision = rapid.Uint64Range(1, revision).Draw(t, "revision")
 			},
 			"hear": func(t *rapid.T) {
-				if len(w.versions) > 0 {
-					w.offer(t, host.Draw(t, "host"), rapid.SampledFrom(w.versions).Draw(t, "version"))
+				if len(sim.versions) > 0 {
+					sim.offer(t, host.Draw(t, "host"), rapid.SampledFrom(sim.versions).Draw(t, "version"))
 				}
 			},
 			"digest": func(t *rapid.T) {
 				a, b := host.Draw(t, "asker"), host.Draw(t, "peer")
-				offers, _ := w.hosts[b].Missing(w.hosts[a].Known())
+				offers, _ := sim.hosts[b].Missing(sim.hosts[a].Known())
 				for _, o := range offers {
-					w.offer(t, a, o)
+					sim.offer(t, a, o)
 				}
 			},
 			"restart": func(t *rapid.T) {
 				h := host.Draw(t, "host")
-				w.hosts[h] = &document.Documents{}
-				w.highest[h] = map[fleet.Service]document.Version{}
+				sim.hosts[h] = &document.Documents{}
+				sim.highest[h] = map[fleet.Service]document.Version{}
 			},
 		})
 	})
 }
 
-// After any history, two rounds of digests over a ring of hosts leave all of them
-// with the same knowledge, but for two texts under one version, which a reset of
-// the store can make.
+// Checks that two rounds of digests over a ring of hosts leave all hosts with the same
+// known versions, whichever versions each had received. Two texts with the same version,
+// which a reset of the store can cause, are not covered.
 func TestDigestsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := make([]*document.Documents, 4)
--- a/core/document/verifier.go
+++ b/core/document/verifier.go
@@ -14,10 +14,10 @@
 	"skylarkdeal/core/fleet"
 )
 
-// VerifierFormat is what stands at a key of an account.
+// VerifierFormat describes the value of an account's key in error messages.
 const VerifierFormat = "SCRAM-SHA-256$<iterations>:<salt>$<stored key>:<server key>, made by `skylarkdeal key verifier`"
 
-// The bounds of keys and verifiers.
+// The limits on keys and verifiers.
 const (
 	MinKeyLength  = 16
 	maxKeyLength  = 256
@@ -25,23 +25,24 @@
 	saltSize      = 16
 	minSaltSize   = 8
 	maxSaltSize   = 64
-	// maxIterations bounds the work that a verifier asks of each caller.
+	// maxIterations limits the work that each caller has to do to authenticate.
 	maxIterations = 1_000_000
 	mechanism     = "SCRAM-SHA-256"
 )
 
-// ErrInvalidKey is a key that no verifier is made of.
+// ErrInvalidKey is returned for a key of the wrong length or with characters that are
+// not allowed in a key.
 var ErrInvalidKey = fmt.Errorf("a key has %d to %d printable ASCII characters", MinKeyLength, maxKeyLength)
 
-// NewKey returns a new random key.
+// NewKey returns a new random key, which NewVerifier accepts.
 func NewKey() string {
 	return rand.Text()
 }
 
 // NewVerifier returns the verifier of key with a new random salt.
 //
-// Keys are printable ASCII only: on these SASLprep, which drivers apply in
-// different ways, changes nothing.
+// Keys consist of printable ASCII characters only. Drivers implement SASLprep in
+// different ways, and it leaves such keys unchanged.
 func NewVerifier(key string) (string, error) {
 	salt := make([]byte, saltSize)
 	if _, err := rand.Read(salt); err != nil {
@@ -52,16 +53,17 @@
 
 // AccountSalt returns the salt that all keys of an account share.
 //
-// A login offers one salt before the caller has proved anything, so of two keys
-// with salts of their own one would be refused while the other is being replaced
-// by it. The salt is made from the names: it differs between accounts, and a
-// second key needs nothing of the first.
+// During a login, the server sends one salt before it knows which key the caller
+// has. If the keys of an account had different salts, only one of them would work
+// while it is being replaced by another. The salt is derived from the names of the
+// service and account: it differs between accounts, and a second key can be made
+// without the first.
 func AccountSalt(s fleet.Service, a fleet.Account) []byte {
 	sum := sha256.Sum256([]byte("skylarkdeal salt\x00" + string(s) + "/" + string(a)))
 	return sum[:saltSize]
 }
 
-// VerifierOf returns the verifier of key with the given salt.
+// VerifierOf returns the verifier of key with the given salt, or ErrInvalidKey.
 func VerifierOf(key string, salt []byte) (string, error) {
 	if len(key) < MinKeyLength || len(key) > maxKeyLength || strings.ContainsFunc(key, isInvalidKeyChar) {
 		return "", ErrInvalidKey
@@ -86,7 +88,7 @@
 	return h.Sum(nil)
 }
 
-// Verifier is a verifier taken apart, as a server of SCRAM needs it.
+// Verifier holds the parts of a verifier that a SCRAM server needs.
 type Verifier struct {
 	Salt       []byte
 	Iterations int
@@ -94,7 +96,7 @@
 	ServerKey  []byte
 }
 
-// ParseVerifier takes a verifier apart. Its errors don't hold the verifier.
+// ParseVerifier parses a verifier. Its errors don't contain the verifier.
 func ParseVerifier(s string) (Verifier, error) {
 	parts := strings.Split(s, "$")
 	if len(parts) != 3 || parts[0] != mechanism {
@@ -108,25 +110,25 @@
 	stored, server, _ := strings.Cut(parts[2], ":")
 	v := Verifier{Iterations: n}
 	for _, p := range []struct {
-		to   *[]byte
-		text string
-		low  int
-		high int
+		dst     *[]byte
+		text    string
+		minSize int
+		maxSize int
 	}{
 		{&v.Salt, salt, minSaltSize, maxSaltSize},
 		{&v.StoredKey, stored, sha256.Size, sha256.Size},
 		{&v.ServerKey, server, sha256.Size, sha256.Size},
 	} {
 		b, err := base64.StdEncoding.DecodeString(p.text)
-		if err != nil || len(b) < p.low || len(b) > p.high {
+		if err != nil || len(b) < p.minSize || len(b) > p.maxSize {
 			return Verifier{}, errors.New("a part is not base64 of the right length")
 		}
-		*p.to = b
+		*p.dst = b
 	}
 	return v, nil
 }
 
-// CheckVerifier returns why s isn't a verifier, without showing s, or nil.
+// CheckVerifier returns nil if s is a verifier, else an error that doesn't contain s.
 func CheckVerifier(s string) error {
 	_, err := ParseVerifier(s)
 	return err
