--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the settings of one host.
+// Package settings parses and validates the settings file of one host.
 package settings
 
 import (
@@ -12,8 +12,8 @@
 	"skylarkdeal/core/inifile"
 )
 
-// Settings are what one host is told at its start. All else stands in the
-// documents.
+// Settings are what one host reads at its start. What applies to a service on all
+// hosts is in the documents.
 type Settings struct {
 	Host     Host
 	Caller   Caller
@@ -23,104 +23,103 @@
 	Upstream Upstream
 	Adapter  Adapter
 	Log      Log
-	// Regions are those of the data centres.
+	// Regions maps data centres to their regions.
 	Regions map[fleet.DataCentre]fleet.Region
 }
 
-// Host says who the host is.
+// Host identifies the host.
 type Host struct {
 	Name       fleet.Host
 	DataCentre fleet.DataCentre
 }
 
-// Caller is the side of the callers.
+// Caller configures the listener for callers and the limits on their sessions.
 type Caller struct {
 	Address string
-	// MaxSessions bounds the open sessions.
+	// MaxSessions limits the open sessions on the host.
 	MaxSessions int
-	// MaxMessage bounds one message of a caller, in bytes.
+	// MaxMessage limits the size of one message from a caller, in bytes.
 	MaxMessage int
-	// StartupTimeout bounds the time until a caller has shown its key.
+	// StartupTimeout limits the time from connecting until a caller has authenticated.
 	StartupTimeout time.Duration
-	// MaxUnread bounds the bytes of answers that wait for one caller.
+	// MaxUnread limits the bytes of responses that one caller has not read yet.
 	MaxUnread int
 }
 
-// Peer is the side of the other hosts.
+// Peer configures the listener for other hosts and the connections to them.
 type Peer struct {
 	Address string
-	// SecretFile holds what the hosts of one fleet show each other; empty when
-	// their network is closed to all others.
+	// SecretFile is the file with the secret by which the hosts of one fleet authenticate
+	// each other. It is empty if only these hosts can reach their network.
 	SecretFile string
-	// Seeds are addresses of other hosts, asked first at the start.
+	// Seeds are addresses of other hosts, which the host contacts first at its start.
 	Seeds []string
 }
 
-// Operator is the side of the operators: metrics, state, health.
+// Operator configures the listener for operators, which serves metrics, state and health.
 type Operator struct {
 	Address string
 	Pprof   bool
 }
 
-// Store is the platform's store.
+// Store configures the access to the platform's store.
 type Store struct {
 	Endpoints []string
-	// Prefix starts every key and ends in a slash.
+	// Prefix is the prefix of all keys of this system. It begins and ends with a slash.
 	Prefix string
-	// Timeout bounds one call.
+	// Timeout limits one call to the store.
 	Timeout time.Duration
-	// HostList is the key of the platform's own list of hosts, empty when there is
-	// none.
+	// HostList is the key of the platform's own list of hosts, empty if there is none.
 	HostList string
 }
 
-// Upstream is how the host shows itself to the database instances.
+// Upstream holds the credentials of the host at the database instances.
 type Upstream struct {
 	User string
-	// PasswordFile is empty when the instances ask for none.
+	// PasswordFile is the file with the password, empty if the instances ask for none.
 	PasswordFile string
 }
 
-// AdapterKind says in which way the host speaks to all around it.
+// AdapterKind selects the protocols between the host and its callers, instances and store.
 type AdapterKind string
 
 // The kinds of adapters.
 const (
-	// AdapterNone is the product's own interface: callers and instances speak PostgreSQL,
-	// the store etcd v3.
+	// AdapterNone uses the product's own interfaces: callers and instances use the
+	// PostgreSQL protocol, the store that of etcd v3.
 	AdapterNone AdapterKind = "none"
-	// AdapterPlatform is for the prepared machines.
+	// AdapterPlatform uses the interfaces of the prepared machines.
 	AdapterPlatform AdapterKind = "platform"
 )
 
-// Adapter is what a host needs to know of the machines that it was prepared for.
+// Adapter describes the platform that the host runs on.
 type Adapter struct {
 	Kind AdapterKind
-	// Balancer is where the balancer asks whether the host is ready.
+	// Balancer is the address at which the load balancer asks whether the host is ready.
 	Balancer string
-	// Promotions is where changes of primary are ordered.
+	// Promotions is the address to which the host sends promotion requests.
 	Promotions string
-	// Grace is the time between the request to end and the end.
+	// Grace is how long a shutdown may take, from its request to the end of the process.
 	Grace time.Duration
-	// RateWindow is the span over which an account's rate and burst are counted.
+	// RateWindow is the interval over which an account's rate and burst are counted.
 	RateWindow time.Duration
-	// PromotionLeast is the least time in which the platform carries out an order, whichever it
-	// is, and PromotionDelay the time that it usually takes.
+	// PromotionLeast is the shortest time in which the platform carries out any promotion request,
+	// and PromotionDelay the time that it usually takes.
 	PromotionLeast, PromotionDelay time.Duration
-	// Memory is the most that the process may take, in bytes.
+	// Memory is the most memory that the process may use, in bytes.
 	Memory int
-	// Capacity is the part of the processor that is the host's; zero if it isn't told.
+	// Capacity is how much of the processor the host may use, in cores; zero if it isn't known.
 	Capacity fleet.Capacity
-	// Evacuate is the time in which an evacuation has to be over.
+	// Evacuate is how long an evacuation of a data centre may take.
 	Evacuate time.Duration
-	// Cold is how much more than the rate that a cold instance bears it may be sent.
+	// Cold limits how far the fleet may exceed the rate that a cold instance can carry.
 	Cold cold.Limit
 }
 
-// Level is the least severe level that is logged.
+// Level is the severity of a log line.
 type Level string
 
-// The levels.
+// The levels, from the least to the most severe.
 const (
 	LevelDebug Level = "debug"
 	LevelInfo  Level = "info"
@@ -128,31 +127,33 @@
 	LevelError Level = "error"
 )
 
-// Log is what is logged.
+// Log configures the log.
 type Log struct {
+	// Level is the least severe level that is logged.
 	Level Level
 }
 
-// The defaults and the bounds of settings. The bounds keep a slip of a unit
-// from passing as a choice. DefaultStoreTimeout lets calls to a store that is
-// slow by two seconds succeed, and one that fails leaves time for another before
-// the host's lease lapses.
+// The defaults and the limits of settings. The limits reject values that were
+// written in the wrong unit by mistake.
 const (
 	DefaultMaxSessions    = 10000
 	DefaultMaxMessage     = 1 << 20
 	DefaultStartupTimeout = 5 * time.Second
 	DefaultMaxUnread      = 256 << 10
 	DefaultPrefix         = "/skylarkdeal/"
-	DefaultStoreTimeout   = 3 * time.Second
-	DefaultUser           = "skylarkdeal"
+	// DefaultStoreTimeout lets a call succeed that takes the store two seconds longer
+	// than usual. After a call that fails, there is time for another one before the
+	// host's lease expires.
+	DefaultStoreTimeout = 3 * time.Second
+	DefaultUser         = "skylarkdeal"
 
 	maxSessions = 1 << 20
 	minSize     = 1 << 10
 	maxSize     = 1 << 30
 )
 
-// Parse reads the settings in text; file is what mistakes call it. The error
-// holds all mistakes at once, as inifile.Mistakes.
+// Parse parses the settings in text. file is the file name in the mistakes. The
+// error is an inifile.Mistakes that lists all mistakes.
 func Parse(file string, text []byte) (*Settings, error) {
 	f := inifile.Read(file, text)
 	s := &Settings{
@@ -252,11 +253,12 @@
 	return Upstream{User: s.String("user", DefaultUser), PasswordFile: s.String("password-file", "")}
 }
 
-// The bounds of an adapter's settings. DefaultPromotionLeast takes nothing for granted: an
-// order then waits until nothing proved before it counts any more.
+// The defaults and the limits of an adapter's settings.
 const (
-	DefaultGrace          = 6 * time.Second
-	DefaultRateWindow     = 5 * time.Second
+	DefaultGrace      = 6 * time.Second
+	DefaultRateWindow = 5 * time.Second
+	// DefaultPromotionLeast assumes nothing about the platform: the host then delays a
+	// promotion request until leases that were renewed before it are no longer valid.
 	DefaultPromotionLeast = 0 * time.Second
 	DefaultPromotionDelay = time.Second
 	DefaultMemory         = 256 << 20
@@ -268,7 +270,7 @@
 	maxColdOvershoot = 100
 	maxColdSlack     = 10000
 
-	// maxCapacity is more cores than any host has.
+	// maxCapacity is in cores, more than any host has.
 	maxCapacity = 1 << 10
 
 	minMemory = 32 << 20
--- a/core/settings/settings_test.go
+++ b/core/settings/settings_test.go
@@ -14,7 +14,7 @@
 	"skylarkdeal/core/settings"
 )
 
-func sample(c *qt.C) string {
+func sampleSettings(c *qt.C) string {
 	b, err := os.ReadFile(filepath.Join("..", "..", "docs", "sample", "host.ini"))
 	c.Assert(err, qt.IsNil)
 	return string(b)
@@ -22,34 +22,35 @@
 
 func TestSampleLoads(t *testing.T) {
 	c := qt.New(t)
-	s, err := settings.Parse("host.ini", []byte(sample(c)))
+	s, err := settings.Parse("host.ini", []byte(sampleSettings(c)))
 	c.Assert(err, qt.IsNil)
 	c.Assert(s.Host, qt.Equals, settings.Host{Name: "obihiro-1", DataCentre: fleet.DataCentre("obihiro")})
 	c.Assert(s.Peer.Seeds, qt.DeepEquals, []string{"10.1.0.12:6433", "10.2.0.11:6433", "10.3.0.11:6433"})
 	c.Assert(s.Store.Timeout, qt.Equals, settings.DefaultStoreTimeout)
 }
 
-// The sample shows every default on a line that is commented out by "; ".
+// Guards against a sample that shows values other than the defaults. The sample has the
+// defaults on lines that are commented out by "; ".
 func TestSampleShowsTheDefaults(t *testing.T) {
 	c := qt.New(t)
-	text := sample(c)
-	plain, err := settings.Parse("host.ini", []byte(text))
+	text := sampleSettings(c)
+	defaults, err := settings.Parse("host.ini", []byte(text))
 	c.Assert(err, qt.IsNil)
-	shown, err := settings.Parse("host.ini", []byte(strings.ReplaceAll(text, "\n; ", "\n")))
+	uncommented, err := settings.Parse("host.ini", []byte(strings.ReplaceAll(text, "\n; ", "\n")))
 	c.Assert(err, qt.IsNil)
-	c.Assert(shown, qt.DeepEquals, plain)
+	c.Assert(uncommented, qt.DeepEquals, defaults)
 	c.Assert(strings.Count(text, "\n; "), qt.Equals, 10)
 }
 
 func TestMistakesCarryTheirPlace(t *testing.T) {
 	c := qt.New(t)
-	text := sample(c)
+	text := sampleSettings(c)
 	for _, t := range []struct {
-		old, change string
-		section     string
-		key         string
-		found       string
-		expected    string
+		old, replacement string
+		section          string
+		key              string
+		found            string
+		expected         string
 	}{
 		{"data-centre = obihiro\n", "", "host", "data-centre", "nothing", "a name"},
 		{"name = obihiro-1", "name = Obihiro_1", "host", "name", `"Obihiro_1"`, "a name"},
@@ -72,10 +73,10 @@
 		{"; pprof = false", "pprof", "operator", "", "", "key = value"},
 	} {
 		c.Assert(strings.Contains(text, t.old), qt.IsTrue, qt.Commentf("%s", t.old))
-		wrong := strings.Replace(text, t.old, t.change, 1)
-		_, err := settings.Parse("host.ini", []byte(wrong))
+		invalid := strings.Replace(text, t.old, t.replacement, 1)
+		_, err := settings.Parse("host.ini", []byte(invalid))
 		var m inifile.Mistakes
-		c.Assert(errors.As(err, &m), qt.IsTrue, qt.Commentf("%q", t.change))
+		c.Assert(errors.As(err, &m), qt.IsTrue, qt.Commentf("%q", t.replacement))
 		c.Assert(m, qt.HasLen, 1, qt.Commentf("%v", err))
 		c.Check(m[0].File, qt.Equals, "host.ini")
 		c.Check(m[0].Section, qt.Equals, t.section)
@@ -83,7 +84,7 @@
 		c.Check(m[0].Found, qt.Equals, t.found)
 		c.Check(strings.HasPrefix(m[0].Expected, t.expected), qt.IsTrue, qt.Commentf("%s", m[0]))
 		c.Check(err.Error(), qt.Not(qt.Contains), "tomato")
-		if t.change != "" {
+		if t.replacement != "" {
 			before, _, _ := strings.Cut(text, t.old)
 			line := 1 + strings.Count(before, "\n")
 			c.Check(m[0].Line, qt.Equals, line, qt.Commentf("%s", m[0]))
@@ -101,7 +102,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(sample(qt.New(f)))
+	f.Add(sampleSettings(qt.New(f)))
 	f.Add("[host]\nname = a\n[store]\nendpoints = ,")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := settings.Parse("f", []byte(text))
