--- a/core/inifile/inifile.go
+++ b/core/inifile/inifile.go
@@ -1,6 +1,6 @@
-// Package inifile reads INI text and tells of every mistake in it at once, each
-// with its line. The settings of a host and the documents of services are both
-// read by it.
+// Package inifile reads INI text and reports all mistakes in it together, each
+// with its line. It is used for the settings of a host and for the documents of
+// services.
 package inifile
 
 import (
@@ -11,19 +11,21 @@
 	"gopkg.in/ini.v1"
 )
 
-// Mistake is one thing that is wrong in a file.
+// Mistake is one invalid, missing or unknown item in a file.
 type Mistake struct {
 	File string `json:"file"`
-	// Line counts from 1; zero stands for what is missing from the whole file.
+	// Line counts from 1. It is zero if the mistake has no line, such as a missing section.
 	Line    int    `json:"line"`
 	Section string `json:"section"`
 	Key     string `json:"key"`
-	// Found is what stands there. It is empty where that may be a secret.
-	Found    string `json:"found"`
+	// Found is the value in the file, or a description of what is there. It is empty
+	// where the text may be a secret.
+	Found string `json:"found"`
+	// Expected describes what is valid there.
 	Expected string `json:"expected"`
 }
 
-// String returns the mistake on one line.
+// String returns the mistake as one line, without a line break.
 func (m Mistake) String() string {
 	var b strings.Builder
 	b.WriteString(m.File)
@@ -44,10 +46,10 @@
 	return b.String()
 }
 
-// Mistakes are all the mistakes of one file, by line. They travel as an error.
+// Mistakes is an error that holds all mistakes of one file, sorted by line.
 type Mistakes []Mistake
 
-// Error returns the mistakes, a line for each.
+// Error returns one line for each mistake.
 func (m Mistakes) Error() string {
 	l := make([]string, len(m))
 	for n, e := range m {
@@ -56,7 +58,7 @@
 	return strings.Join(l, "\n")
 }
 
-// File is INI text that is being read. Mistakes are collected until Err.
+// File is INI text that is being read. It collects the mistakes that Err returns.
 type File struct {
 	name     string
 	ini      *ini.File
@@ -64,16 +66,16 @@
 	mistakes Mistakes
 }
 
-// location is a section, or a key of one.
+// location is a key of a section, or the section itself if key is empty.
 type location struct{ section, key string }
 
-// MaxSize is the most bytes that a file may have: the platform's store holds
+// MaxSize is the largest size of a file in bytes. The platform's store holds
 // values of up to a megabyte.
 const MaxSize = 1 << 20
 
-// Read starts reading text; name is what mistakes call the file. Values have
-// the quotes around them taken off, and no escapes, continued lines or
-// references to other keys.
+// Read parses text as INI. name is the file name in the mistakes. Quotes around
+// values are removed. Escapes, continued lines and references to other keys are not
+// supported. Text above MaxSize is a mistake and reads as empty.
 func Read(name string, text []byte) *File {
 	f := &File{name: name, lines: map[location]int{}}
 	if len(text) > MaxSize {
@@ -95,8 +97,8 @@
 	return f
 }
 
-// scan finds the lines of sections and keys, and the mistakes that the INI
-// library passes over: a key stated twice would silently take its last value.
+// scan records the lines of sections and keys. It also finds mistakes that the INI
+// library ignores, such as a duplicate key, of which the library uses the last value.
 func (f *File) scan(text string) {
 	section := ""
 	n := 0
@@ -113,6 +115,8 @@
 	}
 }
 
+// scanSection records the section whose header is line n and returns its name. A header
+// without a closing bracket is a mistake, and its name is empty.
 func (f *File) scanSection(n int, line string) string {
 	end := strings.LastIndexByte(line, ']')
 	if end < 0 {
@@ -133,6 +137,7 @@
 	f.recordLine(n, section, strings.TrimSpace(key))
 }
 
+// recordLine records the line of a section or key. A duplicate is a mistake.
 func (f *File) recordLine(n int, section, key string) {
 	p := location{section, key}
 	if first, ok := f.lines[p]; ok {
@@ -153,8 +158,8 @@
 	return s
 }
 
-// Section returns the section of that name for reading; a section that isn't
-// there reads as an empty one.
+// Section returns the section named name. A section that isn't in the file reads as
+// an empty one.
 func (f *File) Section(name string) *Section {
 	s := &Section{file: f, name: name, requested: map[string]bool{}}
 	if f.ini.HasSection(name) {
@@ -163,7 +168,8 @@
 	return s
 }
 
-// Line returns the line of a key, or of a section if key is empty.
+// Line returns the line of a key, or of its section if key is empty or not in the
+// section, or zero if neither is in the file.
 func (f *File) Line(section, key string) int {
 	if n, ok := f.lines[location{section, key}]; ok {
 		return n
@@ -171,19 +177,19 @@
 	return f.lines[location{section, ""}]
 }
 
-// AddInvalid records that found stands at a key in place of what was expected. Found
-// stays empty where it may be a secret.
+// AddInvalid records a mistake: the section or key holds found instead of what was
+// expected. found must not contain a value that may be a secret.
 func (f *File) AddInvalid(section, key, found, expected string) {
 	f.addMistake(f.Line(section, key), section, key, found, expected)
 }
 
-// AddMissing records that something expected isn't there.
+// AddMissing records a mistake: what was expected is not there.
 func (f *File) AddMissing(section, key, expected string) {
 	f.AddInvalid(section, key, "nothing", expected)
 }
 
-// addMistake records a mistake. The name of a key is left out where it doesn't look like
-// one: on a line without its key, a secret that holds = would pass for a name.
+// addMistake records a mistake. It omits a key that doesn't look like one, because on a
+// line that lacks the key, a secret that contains = would be taken for one.
 func (f *File) addMistake(line int, section, key, found, expected string) {
 	if !looksLikeKey(key) {
 		key = ""
@@ -193,7 +199,7 @@
 	})
 }
 
-// maxKeyLength is longer than any key's name and shorter than a secret ought to
+// maxKeyLength is longer than the name of any key and shorter than a secret should
 // be.
 const maxKeyLength = 32
 
@@ -206,14 +212,14 @@
 	return len(key) <= maxKeyLength
 }
 
-// RejectKeysOutsideSections records the keys that stand before the first section.
+// RejectKeysOutsideSections records a mistake for each key before the first section.
 func (f *File) RejectKeysOutsideSections() {
 	for _, k := range f.ini.Section(ini.DefaultSection).Keys() {
 		f.AddInvalid("", k.Name(), "a key outside any section", "it in a section")
 	}
 }
 
-// Err returns all Mistakes in the order of their lines, or nil.
+// Err returns all mistakes as a Mistakes, sorted by line, or nil if there are none.
 func (f *File) Err() error {
 	if len(f.mistakes) == 0 {
 		return nil
@@ -222,7 +228,7 @@
 	return f.mistakes
 }
 
-// In returns the mistakes as those of another file name.
+// In returns a copy of m with file as the file name of each mistake.
 func (m Mistakes) In(file string) Mistakes {
 	out := slices.Clone(m)
 	for n := range out {
--- a/core/inifile/section.go
+++ b/core/inifile/section.go
@@ -11,8 +11,9 @@
 	"gopkg.in/ini.v1"
 )
 
-// Section reads the keys of one section and notes which were asked for, so that
-// RejectUnknownKeys can reject the rest.
+// Section reads the keys of one section. It records which keys were requested, so
+// that RejectUnknownKeys can reject the others. The methods that return a value
+// record a mistake if the value in the file is invalid.
 type Section struct {
 	file          *File
 	ini           *ini.Section
@@ -21,7 +22,7 @@
 	requestedKeys []string
 }
 
-// Has reports whether the section has the key.
+// Has reports whether the section has the key, possibly with an empty value.
 func (s *Section) Has(key string) bool {
 	return s.ini != nil && s.ini.HasKey(key)
 }
@@ -34,7 +35,8 @@
 	return s.ini.KeyStrings()
 }
 
-// Value returns the value of key and whether it stands there and isn't empty.
+// Value returns the value of key, and whether the section has the key with a value that
+// isn't empty.
 func (s *Section) Value(key string) (string, bool) {
 	if !s.requested[key] {
 		s.requested[key] = true
@@ -47,18 +49,19 @@
 	return v, v != ""
 }
 
-// AddInvalid records a mistake at key.
+// AddInvalid records a mistake: key holds found instead of what was expected. found must
+// not contain a value that may be a secret.
 func (s *Section) AddInvalid(key, found, expected string) {
 	s.file.AddInvalid(s.name, key, found, expected)
 }
 
-// AddMissing records that key has to be there.
+// AddMissing records a mistake: key is required, but not there.
 func (s *Section) AddMissing(key, expected string) {
 	s.file.AddMissing(s.name, key, expected)
 }
 
-// RejectUnknownKeys records every key that wasn't asked for. What they hold is not shown:
-// a key under a mistaken name may be a secret.
+// RejectUnknownKeys records a mistake for each key that was not requested before. It
+// omits the values, because the value of a misspelt key may be a secret.
 func (s *Section) RejectUnknownKeys() {
 	for _, k := range s.Keys() {
 		if !s.requested[k] {
@@ -67,7 +70,7 @@
 	}
 }
 
-// String returns the value of key, or def if there is none.
+// String returns the value of key, or def if key is not there or empty.
 func (s *Section) String(key, def string) string {
 	if v, ok := s.Value(key); ok {
 		return v
@@ -75,7 +78,7 @@
 	return def
 }
 
-// Required returns the value of key, which has to be there.
+// Required returns the value of key. A missing or empty value is a mistake.
 func (s *Section) Required(key, expected string) string {
 	v, ok := s.Value(key)
 	if !ok {
@@ -84,7 +87,7 @@
 	return v
 }
 
-// Name returns the value of key, which has to be there and be a name.
+// Name returns the value of key. A value that is missing or not a name is a mistake.
 func (s *Section) Name(key string) string {
 	v := s.Required(key, NameForm)
 	if v != "" && !IsName(v) {
@@ -93,7 +96,8 @@
 	return v
 }
 
-// Int returns the whole number at key, from low to high, or def.
+// Int returns the value of key as a whole number from low to high, or def if it is missing
+// or invalid.
 func (s *Section) Int(key string, def, low, high int) int {
 	v, ok := s.Value(key)
 	if !ok {
@@ -107,14 +111,15 @@
 	return n
 }
 
-// Float returns a number from low to high, def if the key isn't stated.
+// Float returns the value of key as a number from low to high, or def if it is missing or
+// invalid.
 func (s *Section) Float(key string, def, low, high float64) float64 {
 	v, ok := s.Value(key)
 	if !ok {
 		return def
 	}
 	n, err := strconv.ParseFloat(v, 64)
-	// Written this way round, NaN is refused too.
+	// The negated condition rejects NaN too.
 	if err != nil || !(n >= low && n <= high) {
 		s.AddInvalid(key, strconv.Quote(v), fmt.Sprintf("a number from %g to %g", low, high))
 		return def
@@ -122,7 +127,7 @@
 	return n
 }
 
-// Bool returns the true or false at key, or def.
+// Bool returns the value of key, true or false, or def if it is missing or invalid.
 func (s *Section) Bool(key string, def bool) bool {
 	v, ok := s.Value(key)
 	if !ok {
@@ -135,7 +140,8 @@
 	return v == "true"
 }
 
-// Duration returns the duration at key, from low to high, or def.
+// Duration returns the value of key as a duration from low to high, or def if it is missing
+// or invalid.
 func (s *Section) Duration(key string, def, low, high time.Duration) time.Duration {
 	v, ok := s.Value(key)
 	if !ok {
@@ -149,13 +155,14 @@
 	return d
 }
 
-// sizeUnits are the units of Size, the longest first.
+// sizeUnits are the units that Size accepts, the longest first because KiB and MiB end in B.
 var sizeUnits = []struct {
 	unit  string
 	bytes int
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"B", 1}}
 
-// Size returns the bytes at key, from low to high, or def.
+// Size returns the value of key as a number of bytes from low to high, or def if it is
+// missing or invalid.
 func (s *Section) Size(key string, def, low, high int) int {
 	v, ok := s.Value(key)
 	if !ok {
@@ -180,7 +187,7 @@
 	return 0, false
 }
 
-// OneOf returns the value at key, which is one of values, or def.
+// OneOf returns the value of key, or def if it is missing or not one of values.
 func (s *Section) OneOf(key, def string, values ...string) string {
 	v, ok := s.Value(key)
 	if !ok {
@@ -193,7 +200,8 @@
 	return v
 }
 
-// Address returns the IP address and port at key, which has to be there.
+// Address returns the value of key. A value that is missing or not an IP address and port
+// is a mistake.
 func (s *Section) Address(key string) string {
 	v := s.Required(key, AddressForm)
 	if v != "" && !IsAddress(v) {
@@ -202,7 +210,8 @@
 	return v
 }
 
-// Addresses returns the list of addresses at key.
+// Addresses returns the value of key as a list of addresses, nil if it is missing. Each
+// item that is not an address is a mistake, and is returned too.
 func (s *Section) Addresses(key string) []string {
 	l := s.List(key)
 	for _, a := range l {
@@ -213,7 +222,8 @@
 	return l
 }
 
-// List returns the values at key that commas part.
+// List returns the comma-separated items in the value of key, without the spaces around
+// them, nil if it is missing.
 func (s *Section) List(key string) []string {
 	v, ok := s.Value(key)
 	if !ok {
@@ -226,7 +236,7 @@
 	return l
 }
 
-// What names and addresses look like.
+// The formats of names and addresses, as shown in mistakes.
 const (
 	NameForm    = "a name of lower-case letters, digits and single hyphens"
 	AddressForm = "an IP address and port, such as 10.0.0.1:6432"
@@ -234,8 +244,8 @@
 	maxNameLength = 63
 )
 
-// IsName reports whether s is a name in kebab case. Names go into store keys,
-// metrics and the protocol's strings, so they have nothing to escape.
+// IsName reports whether s is a name in kebab case. Names are used in store keys,
+// metrics and strings of the protocol, so they contain nothing that needs escaping.
 func IsName(s string) bool {
 	if s == "" || len(s) > maxNameLength {
 		return false
@@ -248,8 +258,8 @@
 	return true
 }
 
-// IsAddress reports whether s is an IP address and port. A host name is refused:
-// its lookup would add a service that can fail to every connection.
+// IsAddress reports whether s is an IP address and port. Host names are rejected,
+// because every connection would then depend on name resolution, which can fail.
 func IsAddress(s string) bool {
 	a, err := netip.ParseAddrPort(s)
 	return err == nil && a.Port() != 0
