--- a/core/document/document_test.go
+++ b/core/document/document_test.go
@@ -18,7 +18,7 @@
 	"skylarkdeal/core/inifile"
 )
 
-func sample(c *qt.C) string {
+func sampleDocument(c *qt.C) string {
 	b, err := os.ReadFile(filepath.Join("..", "..", "docs", "sample", "orders.ini"))
 	c.Assert(err, qt.IsNil)
 	return string(b)
@@ -26,7 +26,7 @@
 
 func TestSampleParses(t *testing.T) {
 	c := qt.New(t)
-	d, err := document.Parse([]byte(sample(c)), 7)
+	d, err := document.Parse([]byte(sampleDocument(c)), 7)
 	c.Assert(err, qt.IsNil)
 	c.Assert(d.Service, qt.Equals, fleet.Service("orders"))
 	c.Assert(d.Version, qt.Equals, document.Version(7))
@@ -45,8 +45,8 @@
 
 func TestMistakesCarryTheirPlace(t *testing.T) {
 	c := qt.New(t)
-	text := sample(c)
-	for _, t := range []struct{ old, change, want string }{
+	text := sampleDocument(c)
+	for _, t := range []struct{ old, replacement, want string }{
 		{"acknowledge = replicated", "acknowledge = all", `[service] acknowledge: found "all", expected one of replicated`},
 		{"holders = 3", "holders = 0", `[service] holders: found "0", expected a whole number from 1`},
 		{"statement-timeout = 10s", "statement-timeout = 10", `found "10", expected a duration`},
@@ -70,10 +70,10 @@
 		{"key.autumn = ", "tomato ", `[account "hotel"]`},
 	} {
 		c.Assert(strings.Contains(text, t.old), qt.IsTrue, qt.Commentf("%s", t.old))
-		wrong := strings.Replace(text, t.old, t.change, 1)
-		_, err := document.Parse([]byte(wrong), 1)
-		c.Assert(err, qt.IsNotNil, qt.Commentf("%q", t.change))
-		c.Check(err.Error(), qt.Contains, t.want, qt.Commentf("%q", t.change))
+		invalid := strings.Replace(text, t.old, t.replacement, 1)
+		_, err := document.Parse([]byte(invalid), 1)
+		c.Assert(err, qt.IsNotNil, qt.Commentf("%q", t.replacement))
+		c.Check(err.Error(), qt.Contains, t.want, qt.Commentf("%q", t.replacement))
 		c.Check(err.Error(), qt.Not(qt.Contains), "tomato")
 		c.Check(err.Error(), qt.Not(qt.Contains), "4096:")
 		if strings.HasPrefix(t.want, "[service]") {
@@ -94,15 +94,15 @@
 
 func TestFormatRoundTrip(t *testing.T) {
 	c := qt.New(t)
-	d, err := document.Parse([]byte(sample(c)), 7)
+	d, err := document.Parse([]byte(sampleDocument(c)), 7)
 	c.Assert(err, qt.IsNil)
-	again, err := document.Parse(d.Format(), 7)
+	reparsed, err := document.Parse(d.Format(), 7)
 	c.Assert(err, qt.IsNil)
-	c.Assert(again, qt.DeepEquals, d)
+	c.Assert(reparsed, qt.DeepEquals, d)
 }
 
-// A verifier that the command makes must let in a driver that knows the key, and
-// no other; the driver's side is checked by the library that drivers use.
+// Checks a new verifier against the SCRAM library that drivers use: a client with the
+// key authenticates, a client with another key doesn't.
 func TestVerifierMatchesTheKey(t *testing.T) {
 	c := qt.New(t)
 	key := document.NewKey()
@@ -115,38 +115,38 @@
 		KeyFactors: scram.KeyFactors{Salt: string(v.Salt), Iters: v.Iterations},
 		StoredKey:  v.StoredKey, ServerKey: v.ServerKey,
 	}
-	c.Assert(converse(c, stored, key), qt.IsTrue)
-	c.Assert(converse(c, stored, key+"x"), qt.IsFalse)
+	c.Assert(authenticate(c, stored, key), qt.IsTrue)
+	c.Assert(authenticate(c, stored, key+"x"), qt.IsFalse)
 }
 
-func converse(c *qt.C, stored scram.StoredCredentials, key string) bool {
+func authenticate(c *qt.C, stored scram.StoredCredentials, key string) bool {
 	client, err := scram.SHA256.NewClient("hotel", key, "")
 	c.Assert(err, qt.IsNil)
 	server, err := scram.SHA256.NewServer(func(string) (scram.StoredCredentials, error) { return stored, nil })
 	c.Assert(err, qt.IsNil)
-	ours, theirs := client.NewConversation(), server.NewConversation()
+	clientConversation, serverConversation := client.NewConversation(), server.NewConversation()
 	m := ""
-	for !ours.Done() {
-		if m, err = ours.Step(m); err != nil {
+	for !clientConversation.Done() {
+		if m, err = clientConversation.Step(m); err != nil {
 			return false
 		}
-		if theirs.Done() {
+		if serverConversation.Done() {
 			break
 		}
-		if m, err = theirs.Step(m); err != nil {
+		if m, err = serverConversation.Step(m); err != nil {
 			return false
 		}
 	}
-	return theirs.Valid() && ours.Valid()
+	return serverConversation.Valid() && clientConversation.Valid()
 }
 
-func TestVerifierRefusesUnfitKeys(t *testing.T) {
+func TestNewVerifierRejectsInvalidKeys(t *testing.T) {
 	c := qt.New(t)
 	for _, k := range []string{
 		"", "short", strings.Repeat("x", 257), "sixteen-letters-\x01", "sixteen-léttersx", "with spaces inside",
 	} {
 		_, err := document.NewVerifier(k)
-		c.Check(err, qt.ErrorIs, document.ErrKey, qt.Commentf("%q", k))
+		c.Check(err, qt.ErrorIs, document.ErrInvalidKey, qt.Commentf("%q", k))
 	}
 }
 
@@ -178,29 +178,30 @@
 	// + key.spring = (not shown)
 }
 
-func TestDiffOfEqualTextsIsEmpty(t *testing.T) {
+func TestDiffLineCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := rapid.SliceOfN(rapid.SampledFrom([]string{"[a]", "x = 1", "y = 2", ""}), 0, 12)
 		a, b := strings.Join(l.Draw(t, "a"), "\n"), strings.Join(l.Draw(t, "b"), "\n")
 		if got := document.Diff([]byte(a), []byte(a)); got != "" {
 			t.Fatalf("a text differs from itself:\n%s", got)
 		}
-		gone, come := 0, 0
+		removed, added := 0, 0
 		for l := range strings.Lines(document.Diff([]byte(a), []byte(b))) {
 			switch l[0] {
 			case '-':
-				gone++
+				removed++
 			case '+':
-				come++
+				added++
 			}
 		}
-		if count(b)-count(a) != come-gone {
-			t.Fatalf("%d lines went and %d came between\n%s\n\nand\n\n%s", gone, come, a, b)
+		if countLines(b)-countLines(a) != added-removed {
+			t.Fatalf("%d lines removed and %d added between\n%s\n\nand\n\n%s", removed, added, a, b)
 		}
 	})
 }
 
-func count(s string) int {
+// countLines returns the number of lines of s that are not empty.
+func countLines(s string) int {
 	n := 0
 	for l := range strings.SplitSeq(s, "\n") {
 		if l != "" {
@@ -212,29 +213,29 @@
 
 func FuzzParse(f *testing.F) {
 	c := qt.New(f)
-	f.Add(sample(c))
+	f.Add(sampleDocument(c))
 	f.Add("[service]\nname = a\n[instance \"b\"]\naddress = 1.2.3.4:5")
 	f.Fuzz(func(t *testing.T, text string) {
 		d, err := document.Parse([]byte(text), 1)
 		if err != nil {
 			return
 		}
-		again, err := document.Parse(d.Format(), 1)
+		reparsed, err := document.Parse(d.Format(), 1)
 		if err != nil {
-			t.Fatalf("what was parsed can't be parsed again: %v\n%s", err, d.Format())
+			t.Fatalf("the formatted document can't be parsed: %v\n%s", err, d.Format())
 		}
-		qt.New(t).Assert(again, qt.DeepEquals, d)
+		qt.New(t).Assert(reparsed, qt.DeepEquals, d)
 	})
 }
 
-func FuzzUnseal(f *testing.F) {
+func FuzzSplitStamp(f *testing.F) {
 	f.Add("; skylarkdeal edit=a seq=1 after=2 base=3 by=x at=2026-12-02T00:00:00Z\n[service]")
 	f.Add("; skylarkdeal seq=-1 base=99999999999999999999")
 	f.Fuzz(func(t *testing.T, value string) {
 		s, text := document.SplitStamp([]byte(value))
-		again, rest := document.SplitStamp(document.AddStamp(s, text))
-		if again.Seq != s.Seq || again.Base != s.Base || again.After != s.After || string(rest) != string(text) {
-			t.Fatalf("%+v and %q became %+v and %q", s, text, again, rest)
+		reparsed, rest := document.SplitStamp(document.AddStamp(s, text))
+		if reparsed.Seq != s.Seq || reparsed.Base != s.Base || reparsed.After != s.After || string(rest) != string(text) {
+			t.Fatalf("%+v and %q became %+v and %q", s, text, reparsed, rest)
 		}
 	})
 }
@@ -249,9 +250,9 @@
 	})
 }
 
-// A bakery's key is replaced by a second one with a salt of its own. A login offers
-// one salt, so callers with one of the two would be locked out for as long as both
-// stand: the document is refused, with the way to a fitting verifier.
+// Guards against locking out callers while a key is replaced. The server sends one salt
+// during a login, so of two keys with different salts only one works. Such a document is
+// rejected, and the error says how to make a verifier with the account's salt.
 func TestKeysOfAnAccountShareTheirSalt(t *testing.T) {
 	c := qt.New(t)
 	text := "[service]\nname = orders\ndata-centres = obihiro\n" +
@@ -265,15 +266,16 @@
 	_, err = document.Parse([]byte(fmt.Sprintf(text, spring, autumn)), 1)
 	c.Assert(err, qt.IsNil)
 
-	alone, err := document.NewVerifier("sample-autumn-key")
+	randomSalt, err := document.NewVerifier("sample-autumn-key")
 	c.Assert(err, qt.IsNil)
-	_, err = document.Parse([]byte(fmt.Sprintf(text, spring, alone)), 1)
+	_, err = document.Parse([]byte(fmt.Sprintf(text, spring, randomSalt)), 1)
 	want := `(?s).*:10: \[account "bakery"\] key.autumn: found a salt other than that of key.spring.*`
 	c.Assert(err, qt.ErrorMatches, want)
-	c.Assert(err.Error(), qt.Not(qt.Contains), alone)
+	c.Assert(err.Error(), qt.Not(qt.Contains), randomSalt)
 }
 
-// Guards against an evacuation that leaves an instance in use, or names a data centre by mistake.
+// Guards against an evacuation that leaves an instance in use, or that names a data centre
+// without instances by mistake.
 func TestEvacuatedDataCentre(t *testing.T) {
 	c := qt.New(t)
 	b, err := os.ReadFile(filepath.Join("..", "..", "docs", "sample", "orders.ini"))
@@ -284,9 +286,9 @@
 	for _, i := range d.Instances {
 		c.Check(i.Leaving, qt.Equals, i.DataCentre == "obihiro", qt.Commentf("%s", i.Name))
 	}
-	again, err := document.Parse(d.Format(), 3)
+	reparsed, err := document.Parse(d.Format(), 3)
 	c.Assert(err, qt.IsNil)
-	c.Assert(again, qt.DeepEquals, d)
+	c.Assert(reparsed, qt.DeepEquals, d)
 	_, err = document.Parse([]byte(strings.Replace(text, "\nevacuated = obihiro", "\nevacuated = nowhere", 1)), 3)
 	c.Assert(err, qt.ErrorMatches, `(?s).*evacuated: found "nowhere", expected a data centre that has an instance.*`)
 }
