--- a/io/registry/catalog.go
+++ b/io/registry/catalog.go
@@ -12,7 +12,7 @@
 	"skylarkdeal/internal/sleep"
 )
 
-// watchCatalog reads the catalog and then watches it.
+// watchCatalog lists the catalog and then watches it for changes. It lists it again after an error.
 func (r *Registry) watchCatalog(ctx context.Context) {
 	var after Revision
 	for ctx.Err() == nil {
@@ -23,9 +23,9 @@
 			after, err = r.waitForCatalog(ctx, after)
 		}
 		if err != nil && ctx.Err() == nil {
-			r.up.failed(err)
+			r.storeHealth.recordFailure(err)
 			after = 0
-			r.up.wait(ctx)
+			r.storeHealth.backOff(ctx)
 		}
 	}
 }
@@ -38,108 +38,112 @@
 	if err != nil {
 		return 0, err
 	}
-	r.up.answered()
-	now, news := r.written.list(es, at)
-	r.handOn(now, news, sent)
-	latest(&r.read, sent)
+	r.storeHealth.recordSuccess()
+	current, changed := r.operatorEntries.applyList(es, at)
+	r.updateCatalog(current, changed, sent)
+	storeLatest(&r.lastCatalogRead, sent)
 	r.CatalogConfirmed(sent)
 	return at, nil
 }
 
 func (r *Registry) waitForCatalog(ctx context.Context, after Revision) (Revision, error) {
-	c, cancel := context.WithTimeout(ctx, watchFor+callTimeout)
+	c, cancel := context.WithTimeout(ctx, watchDuration+callTimeout)
 	defer cancel()
 	go func() {
 		select {
-		case <-r.reload:
+		case <-r.catalogRefresh:
 			cancel()
 		case <-c.Done():
 		}
 	}()
-	es, at, err := r.cfg.Store.Watch(c, r.cfg.CatalogPrefix, after, watchFor)
+	es, at, err := r.cfg.Store.Watch(c, r.cfg.CatalogPrefix, after, watchDuration)
 	if err != nil {
 		return 0, err
 	}
-	now, news := r.written.events(es, max(at, after))
-	// A watch tells of the moment at which it answers, which isn't known here.
-	r.handOn(now, news, r.CatalogReadAt())
+	current, changed := r.operatorEntries.applyEvents(es, max(at, after))
+	// The changes are as of the time when the store responded, which isn't known here. The time of
+	// the last list stands for it.
+	r.updateCatalog(current, changed, r.CatalogReadAt())
 	return max(at, after), nil
 }
 
-// CatalogConfirmed takes in that the catalog in force here was the store's at a moment.
-func (r *Registry) CatalogConfirmed(at time.Time) { latest(&r.confirmed, at) }
+// CatalogConfirmed records that the catalog in force on this host was the store's at the given
+// time. Other hosts' reports of their readings call it too.
+func (r *Registry) CatalogConfirmed(at time.Time) { storeLatest(&r.lastCatalogConfirm, at) }
 
-// CatalogReadAt returns when this host last read the catalog. As with the list of instances, what
-// others have told of their readings is not told on.
+// CatalogReadAt returns when this host itself last read the catalog. Readings reported by other
+// hosts are not included, for the reason given at InstancesDigest.
 func (r *Registry) CatalogReadAt() time.Time {
-	at, _ := r.read.Load().(time.Time)
+	at, _ := r.lastCatalogRead.Load().(time.Time)
 	return at
 }
 
-// knownSince returns when the catalog in force here was last known to be the store's.
-func (r *Registry) knownSince() time.Time {
-	at, _ := r.confirmed.Load().(time.Time)
+// catalogConfirmedAt returns when the catalog in force on this host was last known to be the
+// store's, by a reading of this host or of another.
+func (r *Registry) catalogConfirmedAt() time.Time {
+	at, _ := r.lastCatalogConfirm.Load().(time.Time)
 	return at
 }
 
-// confirmCatalog reads the catalog when no host has done so for a while. Whoever is first
-// tells the others, so that the calls don't grow with the fleet.
+// confirmCatalog reads the catalog when no host has read it for catalogMaxAge. The first host to do
+// so reports it to the others, so that the number of calls doesn't grow with the fleet.
 func (r *Registry) confirmCatalog(ctx context.Context) {
-	// The watch begins with a reading of its own.
-	sleep.For(ctx, confirmEvery)
+	// The watch begins with a list.
+	sleep.For(ctx, catalogMaxAge)
 	for ctx.Err() == nil {
-		due := r.knownSince().Add(confirmEvery + r.turn())
+		due := r.catalogConfirmedAt().Add(catalogMaxAge + r.readDelay())
 		if wait := due.Sub(r.cfg.Now()); wait > 0 {
 			sleep.For(ctx, wait)
 			continue
 		}
 		if _, err := r.readCatalog(ctx); err != nil {
-			r.up.wait(ctx)
+			r.storeHealth.backOff(ctx)
 		}
 	}
 }
 
-// CatalogRevision returns the revision of the store up to which all that operators have written is
-// known here.
-func (r *Registry) CatalogRevision() Revision { return r.written.upTo() }
+// CatalogRevision returns the revision of the store up to which this host knows all entries written
+// by operators.
+func (r *Registry) CatalogRevision() Revision { return r.operatorEntries.completeRevision() }
 
-// handOn puts what operators have written in force, if it is news, and passes it on.
-func (r *Registry) handOn(now snapshot, news bool, read time.Time) {
-	if news {
-		r.takeCatalog(now)
+// updateCatalog applies the operators' entries if they have changed, and passes them on to
+// followers.
+func (r *Registry) updateCatalog(current snapshot, changed bool, read time.Time) {
+	if changed {
+		r.applyCatalog(current)
 	}
-	if now.changed != 0 {
-		r.copied(follow.PartCatalog, follow.Version(now.changed), read, now.entries)
+	if current.lastChange != 0 {
+		r.passOn(follow.PartCatalog, follow.Version(current.lastChange), read, current.entries)
 	}
 }
 
-// takeCatalog puts what operators have written in force.
+// applyCatalog parses the operators' entries and puts the resulting catalog in force.
 //
-// A configuration that can't be read leaves the last one in force that could, and holds up no
-// evacuation.
-func (r *Registry) takeCatalog(now snapshot) {
-	at := now.find(r.cfg.CatalogKey)
+// If the configuration can't be parsed, the last valid one stays in force, and the other entries
+// are applied with it: an invalid configuration must not delay an evacuation.
+func (r *Registry) applyCatalog(current snapshot) {
+	at := current.index(r.cfg.CatalogKey)
 	if at < 0 {
 		return
 	}
-	c, err := r.cfg.ParseCatalog(now.entries)
+	c, err := r.cfg.ParseCatalog(current.entries)
 	if err != nil {
-		r.cfg.Logger.Error("catalog refused", zap.Uint64("revision", uint64(now.entries[at].Revision)), zap.Error(err))
-		last, ok := r.readable.Load().(snapshot)
+		r.cfg.Logger.Error("catalog refused", zap.Uint64("revision", uint64(current.entries[at].Revision)), zap.Error(err))
+		last, ok := r.lastValid.Load().(snapshot)
 		if !ok {
 			return
 		}
-		now.entries = slices.Clone(now.entries)
-		now.entries[at] = last.entries[last.find(r.cfg.CatalogKey)]
-		if slices.EqualFunc(now.entries, last.entries, sameEntry) {
+		current.entries = slices.Clone(current.entries)
+		current.entries[at] = last.entries[last.index(r.cfg.CatalogKey)]
+		if slices.EqualFunc(current.entries, last.entries, sameEntry) {
 			return
 		}
-		if c, err = r.cfg.ParseCatalog(now.entries); err != nil {
+		if c, err = r.cfg.ParseCatalog(current.entries); err != nil {
 			return
 		}
 	}
-	r.readable.Store(now)
-	c.Revision = catalog.Revision(now.changed)
+	r.lastValid.Store(current)
+	c.Revision = catalog.Revision(current.lastChange)
 	r.cfg.Post(func() { r.cfg.Catalog(c) })
 }
 
--- a/io/registry/dependency.go
+++ b/io/registry/dependency.go
@@ -10,59 +10,59 @@
 	"skylarkdeal/internal/sleep"
 )
 
-// dependency logs when what the host depends on is lost and regained, once each.
+// dependency tracks whether something that the host depends on is available. It logs each loss and
+// each recovery once.
 type dependency struct {
 	name string
 	log  *zap.Logger
 
-	mu   sync.Mutex
-	down bool
-	at   time.Time
-	// back is closed when it is regained; nil while it isn't lost.
-	back chan struct{}
+	mu     sync.Mutex
+	lost   bool
+	lostAt time.Time
+	// regained is closed when the dependency is available again; nil before the first loss.
+	regained chan struct{}
 }
 
-func (d *dependency) failed(err error) {
+func (d *dependency) recordFailure(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.down {
+	if d.lost {
 		return
 	}
-	d.down, d.at, d.back = true, time.Now(), make(chan struct{})
+	d.lost, d.lostAt, d.regained = true, time.Now(), make(chan struct{})
 	d.log.Warn("dependency lost", zap.String("dependency", d.name), zap.Error(err))
 }
 
-// wait pauses, and while the dependency is lost until it is regained: one duty tries it,
-// and the others spare it their calls.
-func (d *dependency) wait(ctx context.Context) {
+// backOff pauses for pauseAfterError, and while the dependency is lost until it is available again:
+// one task probes it, and the others make no calls.
+func (d *dependency) backOff(ctx context.Context) {
 	sleep.For(ctx, pauseAfterError)
 	d.mu.Lock()
-	back := d.back
-	down := d.down
+	regained := d.regained
+	lost := d.lost
 	d.mu.Unlock()
-	if !down {
+	if !lost {
 		return
 	}
 	select {
-	case <-back:
+	case <-regained:
 	case <-ctx.Done():
 	}
 }
 
-// lost reports whether the dependency is lost.
-func (d *dependency) lost() bool {
+func (d *dependency) isLost() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.down
+	return d.lost
 }
 
-func (d *dependency) answered() {
+func (d *dependency) recordSuccess() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.down {
+	if !d.lost {
 		return
 	}
-	d.down = false
-	close(d.back)
-	d.log.Info("dependency regained", zap.String("dependency", d.name), zap.Duration("after", time.Since(d.at)))
+	d.lost = false
+	close(d.regained)
+	d.log.Info("dependency regained", zap.String("dependency", d.name), zap.Duration("after", time.Since(d.lostAt)))
 }
--- a/io/registry/follow.go
+++ b/io/registry/follow.go
@@ -8,34 +8,34 @@
 	"skylarkdeal/core/follow"
 )
 
-// Role returns the role that the host has.
+// Role returns the host's role. Before the first SetRole it is follow.RoleReader.
 func (r *Registry) Role() follow.Role {
-	if x, ok := r.role.Load().(follow.Role); ok {
-		return x
+	if role, ok := r.role.Load().(follow.Role); ok {
+		return role
 	}
 	return follow.RoleReader
 }
 
-// SetRole has the host take a role.
-func (r *Registry) SetRole(x follow.Role) {
-	if r.role.Swap(x) != x {
-		r.cfg.Logger.Info("role", zap.String("role", string(x)))
+// SetRole sets the host's role. Run then begins or ends the reader's tasks.
+func (r *Registry) SetRole(role follow.Role) {
+	if r.role.Swap(role) != role {
+		r.cfg.Logger.Info("role", zap.String("role", string(role)))
 	}
-	signal(r.changed)
+	signal(r.roleChanged)
 }
 
-// ApplyPart takes in a part of the store that another host has read, under a moment of this host's
-// clock that isn't after its reading.
+// ApplyPart applies a part of the store that another host has read. The ReadAt of c is a time of
+// this host's clock that isn't later than that reading.
 func (r *Registry) ApplyPart(p follow.Part, c follow.PartCopy[[]Entry]) {
 	switch p {
 	case follow.PartCatalog:
 		if c.HasBody {
-			r.takeCatalog(snapshot{entries: c.Body, changed: Revision(c.Version)})
+			r.applyCatalog(snapshot{entries: c.Body, lastChange: Revision(c.Version)})
 		}
 		r.CatalogConfirmed(c.ReadAt)
 	case follow.PartInstances:
 		if c.HasBody {
-			r.takeInstances(c.Body, c.ReadAt)
+			r.applyInstances(c.Body, c.ReadAt)
 		}
 	case follow.PartRecords:
 		if c.HasBody {
@@ -44,12 +44,12 @@
 			}
 		}
 	case follow.PartHosts:
-		// They are no part of what the store tells: see ParseHosts.
+		// Hosts are not applied here: the caller parses them by ParseHosts.
 	}
 }
 
-// copied hands on a part of the store for the hosts that follow this one.
-func (r *Registry) copied(p follow.Part, v follow.Version, read time.Time, es []Entry) {
+// passOn passes a part of the store on to the hosts that follow this one.
+func (r *Registry) passOn(p follow.Part, v follow.Version, read time.Time, es []Entry) {
 	if r.cfg.PartRead == nil || r.Role() != follow.RoleReader {
 		return
 	}
--- a/io/registry/lists.go
+++ b/io/registry/lists.go
@@ -15,90 +15,92 @@
 	"skylarkdeal/internal/sleep"
 )
 
-// listing is a reading of the list of instances: what tells it from others, when this host
-// read it, and when it was last known to be the store's, by this host or another.
-type listing struct {
-	mu              sync.Mutex
-	digest          uint64
-	read, confirmed time.Time
+// instanceList describes the last reading of the list of instances: its digest, when this host read
+// it, and when it was last known to be the store's, by a reading of this host or of another.
+type instanceList struct {
+	mu                  sync.Mutex
+	digest              uint64
+	readAt, confirmedAt time.Time
 }
 
-// InstancesDigest returns the digest of the list of instances that is in use here, and when this host
-// read it.
+// InstancesDigest returns the digest of the list of instances in use on this host, and when this
+// host itself read it.
 //
-// What other hosts have told of their readings is not told on. The time that a report takes on
-// its way isn't known, and would be left out at each step: a reading told from host to host
-// stayed young for ever, nobody read again, and an instance that was leaving was used until it
-// ended.
+// Readings reported by other hosts are not reported again. The delay of a report isn't known and
+// would be left out at every hop. A reading passed from host to host would then stay recent for
+// ever, no host would read again, and a leaving instance would be used until it ended.
 func (r *Registry) InstancesDigest() (uint64, time.Time) {
-	r.listing.mu.Lock()
-	defer r.listing.mu.Unlock()
-	return r.listing.digest, r.listing.read
+	r.instanceList.mu.Lock()
+	defer r.instanceList.mu.Unlock()
+	return r.instanceList.digest, r.instanceList.readAt
 }
 
-// listed returns the digest of the list in use, and when it was last known to be the store's.
-func (r *Registry) listed() (uint64, time.Time) {
-	r.listing.mu.Lock()
-	defer r.listing.mu.Unlock()
-	return r.listing.digest, r.listing.confirmed
+// instancesConfirmed returns the digest of the list in use, and when it was last known to be the
+// store's.
+func (r *Registry) instancesConfirmed() (uint64, time.Time) {
+	r.instanceList.mu.Lock()
+	defer r.instanceList.mu.Unlock()
+	return r.instanceList.digest, r.instanceList.confirmedAt
 }
 
-// InstancesConfirmed takes in that a list with the digest was the store's at a moment, and reports
-// whether it is the one in use here. One that is newer than this host's has it read anew at once.
+// InstancesConfirmed records that a list with the digest was the store's at the given time, and
+// reports whether it is the list in use on this host. A different list that is newer is read at
+// once.
 func (r *Registry) InstancesConfirmed(digest uint64, at time.Time) bool {
-	r.listing.mu.Lock()
-	defer r.listing.mu.Unlock()
-	same := digest == r.listing.digest
+	r.instanceList.mu.Lock()
+	defer r.instanceList.mu.Unlock()
+	same := digest == r.instanceList.digest
 	switch {
-	case !at.After(r.listing.confirmed):
+	case !at.After(r.instanceList.confirmedAt):
 	case same:
-		r.listing.confirmed = at
+		r.instanceList.confirmedAt = at
 	case digest != 0:
-		signal(r.relisting)
+		signal(r.instancesRefresh)
 	}
 	return same && digest != 0
 }
 
-// acquaintance is how long a host that starts and finds the list empty waits before it reads it
-// again: it hears by then which hosts go before it. All hosts start at once, and each takes itself for the
-// first; four readings a second by each are more than the store takes from a large fleet.
-const acquaintance = 800 * time.Millisecond
-
-// listInstances reads the list of instances when no host has found it unchanged for a
-// while. It isn't watched: each instance writes every second, and each of these writes
-// would be a call.
-func (r *Registry) listInstances(ctx context.Context) {
-	young := true
+// startupReadDelay is how long a starting host that finds the list empty waits before it reads it
+// again. By then it has heard which hosts read before it. Without the delay, all hosts of a fleet
+// that starts at once rank themselves first, and four readings a second by each are more than the
+// store can take from a large fleet.
+const startupReadDelay = 800 * time.Millisecond
+
+// pollInstances reads the list of instances when no host has read it for instancesMaxAge. The list
+// isn't watched: each instance writes every second, and a watch would make a call for each of these
+// writes.
+func (r *Registry) pollInstances(ctx context.Context) {
+	starting := true
 	for ctx.Err() == nil {
 		if err := r.readInstances(ctx); err != nil {
-			r.up.wait(ctx)
+			r.storeHealth.backOff(ctx)
 			continue
 		}
-		if digest, _ := r.listed(); young && digest == 0 {
-			_ = await(ctx, acquaintance, r.relisting)
+		if digest, _ := r.instancesConfirmed(); starting && digest == 0 {
+			_ = waitOrSignal(ctx, startupReadDelay, r.instancesRefresh)
 		}
-		young = false
-		r.awaitListing(ctx)
+		starting = false
+		r.awaitInstancesDue(ctx)
 	}
 }
 
-// awaitListing waits until the list of instances is to be read again.
-func (r *Registry) awaitListing(ctx context.Context) {
-	if r.rank() >= turns {
-		// The instances of a service that starts announce themselves one after the other, and
-		// each has the list read anew by all hosts.
-		sleep.For(ctx, turnStep)
+// awaitInstancesDue waits until the list of instances is to be read again.
+func (r *Registry) awaitInstancesDue(ctx context.Context) {
+	if r.rank() >= rankedHosts {
+		// The instances of a starting service register one after the other, and each registration
+		// makes all hosts read the list again.
+		sleep.For(ctx, rankDelay)
 	}
-	sleep.For(ctx, listingPause)
+	sleep.For(ctx, minInstancesInterval)
 	for ctx.Err() == nil {
-		digest, at := r.listed()
-		every := instancesEvery
-		if digest == 0 && r.rank() < turns {
-			// The instances are still to come.
-			every = listingPause
+		digest, at := r.instancesConfirmed()
+		every := instancesMaxAge
+		if digest == 0 && r.rank() < rankedHosts {
+			// No instance has registered yet.
+			every = minInstancesInterval
 		}
-		wait := at.Add(every + r.turn()).Sub(r.cfg.Now())
-		if wait <= 0 || await(ctx, wait, r.relisting) {
+		wait := at.Add(every + r.readDelay()).Sub(r.cfg.Now())
+		if wait <= 0 || waitOrSignal(ctx, wait, r.instancesRefresh) {
 			return
 		}
 	}
@@ -112,28 +114,28 @@
 	if err != nil {
 		return err
 	}
-	digest := r.takeInstances(es, sent)
-	r.listing.mu.Lock()
-	defer r.listing.mu.Unlock()
-	r.listing.digest, r.listing.read, r.listing.confirmed = digest, sent, sent
-	r.copied(follow.PartInstances, follow.Version(digest), sent, es)
+	digest := r.applyInstances(es, sent)
+	r.instanceList.mu.Lock()
+	defer r.instanceList.mu.Unlock()
+	r.instanceList.digest, r.instanceList.readAt, r.instanceList.confirmedAt = digest, sent, sent
+	r.passOn(follow.PartInstances, follow.Version(digest), sent, es)
 	return nil
 }
 
-// coldStep is by how much the time that an instance stays cold has to change to be told to those who
-// follow.
-const coldStep = 2 * time.Second
+// coldGranularity is the precision to which the time that an instance stays cold counts for the
+// digest. A smaller change isn't passed on to followers.
+const coldGranularity = 2 * time.Second
 
-// takeInstances hands on the instances of a reading and returns what tells it from others; zero
-// if there are none.
-func (r *Registry) takeInstances(es []Entry, sent time.Time) uint64 {
+// applyInstances reports the instances of a reading and returns their digest, zero if there are
+// none.
+func (r *Registry) applyInstances(es []Entry, sent time.Time) uint64 {
 	is := make([]catalog.Instance, 0, len(es))
 	digest := xxhash.New()
 	for _, e := range es {
 		if i, ok := r.cfg.ParseInstance(e); ok {
 			is = append(is, i)
-			// How long it stays cold changes with each beat.
-			i.Cold = (i.Cold + coldStep - 1).Truncate(coldStep)
+			// The time that an instance stays cold changes with each heartbeat.
+			i.Cold = (i.Cold + coldGranularity - 1).Truncate(coldGranularity)
 			fmt.Fprintf(digest, "%+v\n", i)
 		}
 	}
@@ -144,33 +146,33 @@
 	return digest.Sum64()
 }
 
-// listHosts reads the registered hosts time and again.
-func (r *Registry) listHosts(ctx context.Context) {
+// pollHosts lists the registered hosts repeatedly, and at once when ListHosts is called.
+func (r *Registry) pollHosts(ctx context.Context) {
 	wait := time.Duration(0)
-	if r.counted {
+	if r.hostsListed {
 		wait = 5 * pauseAfterError
 	}
 	for ctx.Err() == nil {
-		_ = await(ctx, wait, r.rehost)
+		_ = waitOrSignal(ctx, wait, r.hostsRefresh)
 		c, cancel := context.WithTimeout(ctx, callTimeout)
-		hs, err := r.hosts(c)
+		hs, err := r.readHosts(c)
 		cancel()
 		if err != nil {
-			r.up.wait(ctx)
+			r.storeHealth.backOff(ctx)
 			wait = 0
 			continue
 		}
-		r.takeReaders(hs)
+		r.updateReaders(hs)
 		r.cfg.Post(func() { r.cfg.Hosts(hs) })
-		wait = hostsEvery + time.Duration(r.rank())*hostsStep
+		wait = hostsInterval + time.Duration(r.rank())*hostsIntervalStep
 		if len(hs) < 2 {
-			// All hosts start at once, and the others are about to register.
+			// When all hosts start at once, the others are about to register.
 			wait = 5 * pauseAfterError
 		}
 	}
 }
 
-func (r *Registry) hosts(ctx context.Context) ([]Host, error) {
+func (r *Registry) readHosts(ctx context.Context) ([]Host, error) {
 	es, _, err := r.cfg.Store.List(ctx, r.hostsPrefix())
 	if err != nil {
 		return nil, err
@@ -178,7 +180,7 @@
 	return r.ParseHosts(es), nil
 }
 
-// ParseHosts reads registrations; those that can't be read are left out.
+// ParseHosts parses registrations. Those that can't be parsed are logged and left out.
 func (r *Registry) ParseHosts(es []Entry) []Host {
 	out := make([]Host, 0, len(es))
 	for _, e := range es {
--- a/io/registry/shelf_test.go
+++ b/io/registry/mem_store_test.go
@@ -11,35 +11,36 @@
 	"skylarkdeal/io/registry"
 )
 
-// shelf is a small store in memory, with faults that a test sets.
-type shelf struct {
-	mu       sync.Mutex
-	revision registry.Revision
-	entries  map[string]registry.Entry
-	leases   map[registry.LeaseID]time.Time
-	next     registry.LeaseID
-	calls    map[string]int
-	changed  chan struct{}
-	// down refuses all calls; deaf has watches hear nothing.
-	down, deaf bool
-	// lose runs the next commits and answers with an error.
-	lose int
+// memStore is a store in memory, with faults that a test sets.
+type memStore struct {
+	mu        sync.Mutex
+	revision  registry.Revision
+	entries   map[string]registry.Entry
+	leases    map[registry.LeaseID]time.Time
+	lastLease registry.LeaseID
+	calls     map[string]int
+	changed   chan struct{}
+	// down makes all calls fail; missChanges keeps all changes from watches.
+	down, missChanges bool
+	// loseCommitAnswers is the number of next commits that are carried out and answered with an
+	// error.
+	loseCommitAnswers int
 }
 
 var errDown = errors.New("no answer")
 
-func newShelf() *shelf {
-	return &shelf{
+func newMemStore() *memStore {
+	return &memStore{
 		revision: 10, entries: map[string]registry.Entry{}, leases: map[registry.LeaseID]time.Time{},
 		calls: map[string]int{}, changed: make(chan struct{}),
 	}
 }
 
-func (s *shelf) enter(name string) error {
+func (s *memStore) countCall(name string) error {
 	s.calls[name]++
 	for l, end := range s.leases {
 		if time.Now().After(end) {
-			s.end(l)
+			s.expireLease(l)
 		}
 	}
 	if s.down {
@@ -48,26 +49,26 @@
 	return nil
 }
 
-func (s *shelf) end(l registry.LeaseID) {
+func (s *memStore) expireLease(l registry.LeaseID) {
 	delete(s.leases, l)
 	for k, e := range s.entries {
 		if e.Lease == l {
 			delete(s.entries, k)
-			s.stir()
+			s.advanceRevision()
 		}
 	}
 }
 
-func (s *shelf) stir() {
+func (s *memStore) advanceRevision() {
 	s.revision++
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *shelf) list(_ context.Context, prefix string) ([]registry.Entry, registry.Revision, error) {
+func (s *memStore) list(_ context.Context, prefix string) ([]registry.Entry, registry.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.enter("list " + prefix); err != nil {
+	if err := s.countCall("list " + prefix); err != nil {
 		return nil, 0, err
 	}
 	var out []registry.Entry
@@ -80,19 +81,19 @@
 	return out, s.revision, nil
 }
 
-func (s *shelf) watch(
+func (s *memStore) watch(
 	ctx context.Context, prefix string, after registry.Revision, wait time.Duration,
 ) ([]registry.Entry, registry.Revision, error) {
 	end := time.After(wait)
 	for {
 		s.mu.Lock()
-		if err := s.enter("watch"); err != nil {
+		if err := s.countCall("watch"); err != nil {
 			s.mu.Unlock()
 			return nil, 0, err
 		}
 		var out []registry.Entry
 		for k, e := range s.entries {
-			if strings.HasPrefix(k, prefix) && e.Revision > after && !s.deaf {
+			if strings.HasPrefix(k, prefix) && e.Revision > after && !s.missChanges {
 				out = append(out, e)
 			}
 		}
@@ -111,10 +112,10 @@
 	}
 }
 
-func (s *shelf) commit(_ context.Context, t registry.Txn) (registry.Revision, error) {
+func (s *memStore) commit(_ context.Context, t registry.Txn) (registry.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.enter("commit"); err != nil {
+	if err := s.countCall("commit"); err != nil {
 		return 0, err
 	}
 	for _, c := range t.If {
@@ -125,7 +126,7 @@
 	if _, ok := s.leases[t.Lease]; t.Lease != 0 && !ok {
 		return 0, registry.ErrNotFound
 	}
-	s.stir()
+	s.advanceRevision()
 	for _, p := range t.Put {
 		created := s.entries[p.Key].Created
 		if created == 0 {
@@ -133,28 +134,28 @@
 		}
 		s.entries[p.Key] = registry.Entry{Key: p.Key, Value: p.Value, Revision: s.revision, Created: created, Lease: t.Lease}
 	}
-	if s.lose > 0 {
-		s.lose--
+	if s.loseCommitAnswers > 0 {
+		s.loseCommitAnswers--
 		return 0, errDown
 	}
 	return s.revision, nil
 }
 
-func (s *shelf) grant(_ context.Context, ttl time.Duration) (registry.LeaseID, error) {
+func (s *memStore) grant(_ context.Context, ttl time.Duration) (registry.LeaseID, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.enter("grant"); err != nil {
+	if err := s.countCall("grant"); err != nil {
 		return 0, err
 	}
-	s.next++
-	s.leases[s.next] = time.Now().Add(ttl)
-	return s.next, nil
+	s.lastLease++
+	s.leases[s.lastLease] = time.Now().Add(ttl)
+	return s.lastLease, nil
 }
 
-func (s *shelf) renew(_ context.Context, l registry.LeaseID) error {
+func (s *memStore) renew(_ context.Context, l registry.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.enter("renew"); err != nil {
+	if err := s.countCall("renew"); err != nil {
 		return err
 	}
 	if _, ok := s.leases[l]; !ok {
@@ -164,37 +165,37 @@
 	return nil
 }
 
-func (s *shelf) endLease(_ context.Context, l registry.LeaseID) error {
+func (s *memStore) revoke(_ context.Context, l registry.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.enter("end"); err != nil {
+	if err := s.countCall("end"); err != nil {
 		return err
 	}
-	s.end(l)
+	s.expireLease(l)
 	return nil
 }
 
-func (s *shelf) store() registry.Store {
+func (s *memStore) store() registry.Store {
 	return registry.Store{
-		List: s.list, Watch: s.watch, Commit: s.commit, Grant: s.grant, Renew: s.renew, Revoke: s.endLease,
+		List: s.list, Watch: s.watch, Commit: s.commit, Grant: s.grant, Renew: s.renew, Revoke: s.revoke,
 	}
 }
 
-func (s *shelf) put(key, value string) {
+func (s *memStore) put(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stir()
+	s.advanceRevision()
 	s.entries[key] = registry.Entry{Key: key, Value: []byte(value), Revision: s.revision, Created: s.revision}
 }
 
-func (s *shelf) remove(key string) {
+func (s *memStore) remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stir()
+	s.advanceRevision()
 	s.entries[key] = registry.Entry{Key: key, Revision: s.revision, Deleted: true}
 }
 
-func (s *shelf) set(f func()) {
+func (s *memStore) locked(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
--- /dev/null
+++ b/io/registry/read_delay.go
@@ -0,0 +1,50 @@
+package registry
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	// rankDelay is how much later each host reads than the host ranked before it. It is longer than
+	// a report of a reading takes to reach all hosts, 0.6 s in a large fleet.
+	rankDelay = 700 * time.Millisecond
+	// rankedHosts is the number of hosts with a delay of their own. The other hosts read after
+	// them, spread over one rankDelay, so that a store that refuses the first hosts doesn't delay
+	// the readings for long.
+	rankedHosts = 2
+)
+
+// readDelay returns how long after the due time this host makes a reading that one host makes for
+// all. The other hosts wait for the report of the first one, so that the number of calls doesn't
+// grow with the fleet.
+//
+// A random delay of up to 0.6 s isn't enough: most of 77 hosts had read before the report of the
+// first reading reached them.
+func (r *Registry) readDelay() time.Duration {
+	if n := r.rank(); n < rankedHosts {
+		return time.Duration(n) * rankDelay
+	}
+	return rankedHosts*rankDelay + time.Duration(rand.Int64N(int64(rankDelay)))
+}
+
+func (r *Registry) rank() int {
+	if r.cfg.Rank == nil {
+		return 0
+	}
+	return r.cfg.Rank()
+}
+
+// waitOrSignal waits for d or until wake is signalled, and reports whether it was signalled.
+func waitOrSignal(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-t.C:
+	case <-wake:
+		return true
+	case <-ctx.Done():
+	}
+	return false
+}
--- a/io/registry/records.go
+++ b/io/registry/records.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.keep(es)
+	r.cacheRecords(es)
 	return r.parseRecords(es), nil
 }
 
@@ -43,19 +43,19 @@
 	return rec, err
 }
 
-// readRecords reads the records whenever that is asked for.
+// readRecords reads the records whenever RefreshRecords is called.
 func (r *Registry) readRecords(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.relist:
+		case <-r.recordsRefresh:
 		}
 		c, cancel := context.WithTimeout(ctx, callTimeout)
 		records, err := r.listRecords(c)
 		cancel()
 		if err != nil {
-			r.up.failed(err)
+			r.storeHealth.recordFailure(err)
 			sleep.For(ctx, pauseAfterError)
 			continue
 		}
@@ -64,41 +64,42 @@
 				r.cfg.Record(rec)
 			}
 		})
-		r.copyRecords()
+		r.passOnRecords()
 		sleep.For(ctx, pauseAfterError)
 	}
 }
 
-// keep takes in the entries of records.
-func (r *Registry) keep(es []Entry) {
-	r.kept.Lock()
-	defer r.kept.Unlock()
+// cacheRecords stores the entries that are newer than the known ones.
+func (r *Registry) cacheRecords(es []Entry) {
+	r.recordsMu.Lock()
+	defer r.recordsMu.Unlock()
 	for _, e := range es {
 		if e.Revision > r.records[e.Key].Revision {
 			r.records[e.Key] = e
-			r.changes++
+			r.recordChanges++
 		}
 	}
 }
 
-// copyRecord hands on a record that this host has written.
-func (r *Registry) copyRecord(rec leader.Record, rev Revision) {
+// passOnRecord passes on a record that this host has written.
+func (r *Registry) passOnRecord(rec leader.Record, rev Revision) {
 	b, err := json.Marshal(rec)
 	if err != nil {
 		r.cfg.Logger.Error("record not handed on", zap.Error(err))
 		return
 	}
-	r.keep([]Entry{{Key: r.recordsPrefix() + string(rec.Service), Value: b, Revision: rev}})
-	r.copyRecords()
+	r.cacheRecords([]Entry{{Key: r.recordsPrefix() + string(rec.Service), Value: b, Revision: rev}})
+	r.passOnRecords()
 }
 
-// copyRecords hands on all records. They only come to be more, so that the later of two copies has
-// all that the earlier one has, whichever reading it came by.
-func (r *Registry) copyRecords() {
-	r.kept.Lock()
+// passOnRecords passes on all records. Records are only added or replaced by newer ones, so that of
+// two copies the later one has all that the earlier one has, whichever readings they come from.
+func (r *Registry) passOnRecords() {
+	r.recordsMu.Lock()
 	es := slices.SortedFunc(maps.Values(r.records), func(a, b Entry) int { return cmp.Compare(a.Key, b.Key) })
-	// A record may become known after another of a later revision, so that revisions tell no versions.
-	v, at := follow.Version(1+r.changes), r.cfg.Now()
-	r.kept.Unlock()
-	r.copied(follow.PartRecords, v, at, es)
+	// A record may become known after another one with a later revision, so the version counts
+	// changes instead of being the highest revision.
+	v, at := follow.Version(1+r.recordChanges), r.cfg.Now()
+	r.recordsMu.Unlock()
+	r.passOn(follow.PartRecords, v, at, es)
 }
