--- a/io/forward/forward_test.go
+++ b/io/forward/forward_test.go
@@ -15,16 +15,16 @@
 	"skylarkdeal/io/forward"
 )
 
-// got is what a reader has told of.
-type got struct {
+// received holds what a reader has decoded.
+type received struct {
 	hosts    []fleet.Host
 	requests []relay.Forward
 	streams  []uint64
 	answers  []statement.Answer
 }
 
-func reader() (*forward.Reader, *got) {
-	g := &got{}
+func reader() (*forward.Reader, *received) {
+	g := &received{}
 	return &forward.Reader{
 		Hello:   func(h fleet.Host) { g.hosts = append(g.hosts, h) },
 		Request: func(f relay.Forward) { g.requests = append(g.requests, f) },
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestFramesComeAsTheyWereSent(t *testing.T) {
+func TestFramesArriveAsTheyWereSent(t *testing.T) {
 	c := qt.New(t)
 	a := statement.Answer{
 		Rows: []string{"one", ""}, Digest: "d", Code: statement.CodeBusy, Detail: "why", RetryAfter: 300 * time.Millisecond,
@@ -60,7 +60,7 @@
 	b = forward.AppendRequest(b, request())
 	b = forward.AppendReply(b, 7, a)
 	rapid.Check(t, func(t *rapid.T) {
-		// However the bytes are cut, the messages are the same.
+		// The messages are the same, however the bytes are split.
 		in, g := reader()
 		var waiting []byte
 		for rest := b; len(rest) > 0; {
@@ -86,7 +86,7 @@
 	})
 }
 
-// A peer sends a length that no frame has. The host must not wait for it all to come.
+// A peer sends a length that no frame has. The host must not buffer until all of it has arrived.
 func TestLongFrameIsRefused(t *testing.T) {
 	c := qt.New(t)
 	in, _ := reader()
--- a/io/forward/news.go
+++ b/io/forward/news.go
@@ -9,42 +9,44 @@
 	"skylarkdeal/io/registry"
 )
 
-// Parts are parts of the store's content, as hosts pass them on.
+// Parts are the parts of the store's content that a reader passes on, by name.
 type Parts = map[follow.Part]follow.PartCopy[[]registry.Entry]
 
-// StoreUpdate is what a host that reads the store passes on. All moments but EchoSent are of its clock.
+// StoreUpdate is what a reader passes on to a follower. All times but EchoSent are of the reader's
+// clock.
 type StoreUpdate struct {
-	// EchoSent is when the follower sent its last question, EchoHeard when that was heard.
+	// EchoSent is when the follower sent its last request, by the follower's clock. EchoHeard is
+	// when the reader received it.
 	EchoSent, EchoHeard time.Time
-	// Renewed is when the last renewal of the reader's registration was sent that has succeeded,
-	// zero if it has ended since.
+	// Renewed is when the reader sent its last successful renewal, zero if its registration has
+	// ended since.
 	Renewed time.Time
 	Parts   Parts
 	// Centres are the data centres that have a registered host.
 	Centres []fleet.DataCentre
 }
 
-// Follow is a follower's question for news.
+// Follow is a follower's request for updates.
 type Follow struct {
-	// Sent is when it was sent, by the follower's clock.
+	// Sent is when the request was sent, by the follower's clock.
 	Sent time.Time
-	// Full asks for everything, whatever was passed on before.
+	// Full asks for all parts, also those that were passed on before.
 	Full bool
 }
 
-// AppendFollow writes the question for news.
+// AppendFollow appends a request for updates.
 func AppendFollow(b []byte, f Follow) []byte {
-	m := &forwardpb.Follow{Sent: toMoment(f.Sent), Whole: f.Full}
+	m := &forwardpb.Follow{Sent: toUnixNano(f.Sent), Whole: f.Full}
 	return appendFrame(b, &forwardpb.Frame{Kind: &forwardpb.Frame_Follow{Follow: m}})
 }
 
-// AppendStoreUpdate writes news.
+// AppendStoreUpdate appends an update of the store.
 func AppendStoreUpdate(b []byte, n StoreUpdate) []byte {
 	m := &forwardpb.News{
-		EchoSent: toMoment(n.EchoSent), EchoHeard: toMoment(n.EchoHeard), Renewed: toMoment(n.Renewed),
+		EchoSent: toUnixNano(n.EchoSent), EchoHeard: toUnixNano(n.EchoHeard), Renewed: toUnixNano(n.Renewed),
 	}
 	for name, c := range n.Parts {
-		p := &forwardpb.Part{Name: string(name), Version: uint64(c.Version), Read: toMoment(c.ReadAt), Whole: c.HasBody}
+		p := &forwardpb.Part{Name: string(name), Version: uint64(c.Version), Read: toUnixNano(c.ReadAt), Whole: c.HasBody}
 		for _, e := range c.Body {
 			p.Entries = append(p.Entries, &forwardpb.Entry{Key: e.Key, Value: e.Value, Revision: uint64(e.Revision)})
 		}
@@ -56,14 +58,14 @@
 	return appendFrame(b, &forwardpb.Frame{Kind: &forwardpb.Frame_News{News: m}})
 }
 
-func news(m *forwardpb.News) StoreUpdate {
+func decodeStoreUpdate(m *forwardpb.News) StoreUpdate {
 	n := StoreUpdate{
-		EchoSent: fromMoment(m.GetEchoSent()), EchoHeard: fromMoment(m.GetEchoHeard()),
-		Renewed: fromMoment(m.GetRenewed()), Parts: Parts{},
+		EchoSent: fromUnixNano(m.GetEchoSent()), EchoHeard: fromUnixNano(m.GetEchoHeard()),
+		Renewed: fromUnixNano(m.GetRenewed()), Parts: Parts{},
 	}
 	for _, p := range m.GetParts() {
 		c := follow.PartCopy[[]registry.Entry]{
-			Version: follow.Version(p.GetVersion()), ReadAt: fromMoment(p.GetRead()), HasBody: p.GetWhole(),
+			Version: follow.Version(p.GetVersion()), ReadAt: fromUnixNano(p.GetRead()), HasBody: p.GetWhole(),
 		}
 		for _, e := range p.GetEntries() {
 			c.Body = append(c.Body, registry.Entry{
@@ -78,14 +80,14 @@
 	return n
 }
 
-func toMoment(t time.Time) int64 {
+func toUnixNano(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixNano()
 }
 
-func fromMoment(n int64) time.Time {
+func fromUnixNano(n int64) time.Time {
 	if n == 0 {
 		return time.Time{}
 	}
--- a/io/forward/news_test.go
+++ b/io/forward/news_test.go
@@ -12,7 +12,7 @@
 	"skylarkdeal/io/registry"
 )
 
-func TestNewsOfTheStoreArriveAsTheyWereSent(t *testing.T) {
+func TestStoreUpdatesArriveAsTheyWereSent(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(0, 86707276482797)
 	want := forward.StoreUpdate{
@@ -35,7 +35,7 @@
 	b := forward.AppendFollow(forward.AppendStoreUpdate(nil, want), question)
 	b = forward.AppendStoreUpdate(b, forward.StoreUpdate{})
 	for len(b) > 0 {
-		// A frame that isn't complete is waited for.
+		// A frame that isn't complete isn't decoded.
 		n, err := r.Take(b[:len(b)-1])
 		c.Assert(err, qt.IsNil)
 		if n == 0 {
@@ -50,7 +50,7 @@
 	c.Assert(asked, qt.DeepEquals, []forward.Follow{question})
 }
 
-func TestSignsOfLife(t *testing.T) {
+func TestPings(t *testing.T) {
 	c := qt.New(t)
 	var got []bool
 	r := forward.Reader{Ping: func(answer bool) { got = append(got, answer) }}
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip carries the datagrams that the hosts of a fleet send each other several
-// times a second. Any of them may be lost: each tells everything anew.
+// Package gossip sends and receives the reports that the hosts of a fleet exchange by UDP several
+// times a second. Any datagram may be lost: each report contains the sender's whole current state.
 package gossip
 
 import (
@@ -18,51 +18,52 @@
 	"skylarkdeal/io/gossip/gossippb"
 )
 
-// UnreachableInstance is an instance that a host can't reach.
+// UnreachableInstance is an instance that a host can't reach, and how long it has been silent.
 type UnreachableInstance struct {
 	Instance fleet.Instance
 	Silent   time.Duration
 }
 
-// Report is what one host tells of itself and of what it sees.
+// Report is a host's report of itself and of the instances that it can or can't reach.
 type Report struct {
 	Host fleet.Host
-	// Address is where the host hears the others. It and DataCentre are empty in most
-	// reports, as they don't change.
+	// Address is where the host receives reports. Address and DataCentre are empty in most reports,
+	// as they don't change.
 	Address    string
 	DataCentre fleet.DataCentre
-	// Epoch tells the processes of one host apart, Seq orders the reports of one.
+	// Epoch distinguishes the processes of one host, Seq orders the reports of one process.
 	Epoch, Seq uint64
 	Leaving    bool
 	Capacity   fleet.Capacity
-	// IsReader is set while the host reads the store, StoreUnreachable while it can't reach it.
+	// IsReader is set while the host is a reader of the store, StoreUnreachable while it can't
+	// reach the store.
 	IsReader, StoreUnreachable bool
 	Usages                     []ratelimit.Usage
 	Unreachable                []UnreachableInstance
-	// Reachable are the instances that the host can reach although another can't.
+	// Reachable are the instances that this host can reach although another host can't.
 	Reachable []fleet.Instance
-	// Catalog is the revision of the newest change of the catalog, Record that of the newest record
-	// of a change of primary, that the host knows of.
+	// Catalog is the revision of the catalog's newest change that the host knows, Record that of
+	// the newest record of a promotion request.
 	Catalog, Record uint64
-	// CatalogAge is how long ago the host itself found Catalog to be the newest.
+	// CatalogAge is the time since the host itself found Catalog to be the newest.
 	CatalogAge time.Duration
-	// Instances tells one list of instances from another, InstancesAge how long ago the host
-	// itself read it.
+	// Instances is the digest of the list of instances in use, InstancesAge the time since the host
+	// itself read the list.
 	Instances    uint64
 	InstancesAge time.Duration
 }
 
-// Config is what a Gossip works with.
+// Config configures a Gossip.
 type Config struct {
-	// Address is where the host hears the others.
+	// Address is where the host receives reports.
 	Address string
-	// Heard takes in other hosts' reports: one from its sender, or some that were passed on.
-	// It is called on a goroutine of its own.
+	// Heard is called with the reports of each datagram: one report from its sender, or several
+	// that a gossip relay has passed on. It is called on the receiving goroutine.
 	Heard  func(rs []Report, passed bool)
 	Logger *zap.Logger
 }
 
-// Gossip sends and hears reports.
+// Gossip sends and receives reports on one UDP socket.
 type Gossip struct {
 	cfg  Config
 	conn *net.UDPConn
@@ -70,14 +71,14 @@
 }
 
 const (
-	// maxDatagram bounds a datagram; what is longer could not be sent.
+	// maxDatagram bounds a datagram; a longer one can't be sent.
 	maxDatagram = 60 << 10
-	// maxPassed bounds the reports of one datagram. One of a busy host takes some 200 bytes,
-	// and long datagrams are lost as a whole.
-	maxPassed = 50
+	// maxForwardedReports bounds the reports of one forwarded datagram. A report of a busy host
+	// takes about 200 bytes, and a long datagram is lost as a whole.
+	maxForwardedReports = 50
 )
 
-// Start begins to hear.
+// Start opens the socket and starts to receive reports.
 func Start(cfg Config) (*Gossip, error) {
 	at, err := net.ResolveUDPAddr("udp4", cfg.Address)
 	if err != nil {
@@ -88,18 +89,18 @@
 		return nil, failure.At(err, "listen for hosts", failure.Peer(cfg.Address))
 	}
 	g := &Gossip{cfg: cfg, conn: c, done: make(chan struct{})}
-	go g.hear()
+	go g.receive()
 	return g, nil
 }
 
-// Close ends the hearing.
+// Close closes the socket and waits until the last call of Heard has returned.
 func (g *Gossip) Close() error {
 	err := g.conn.Close()
 	<-g.done
 	return err
 }
 
-func (g *Gossip) hear() {
+func (g *Gossip) receive() {
 	defer close(g.done)
 	b := make([]byte, maxDatagram)
 	for {
@@ -108,7 +109,7 @@
 			return
 		}
 		if err != nil {
-			// An unreachable host shows as an error of the socket now and then.
+			// A host that can't be reached sometimes shows as an error of the socket.
 			continue
 		}
 		rs, passed, err := decode(b[:n])
@@ -120,14 +121,15 @@
 	}
 }
 
-// Send tells others of r. It doesn't wait: a datagram that finds no room is lost.
+// Send sends a report to other hosts. It waits for no response and ignores errors: a datagram that
+// can't be sent is lost.
 func (g *Gossip) Send(r Report, to []*net.UDPAddr) {
 	g.send(&gossippb.Datagram{Reports: []*gossippb.Report{toMessage(r)}}, to)
 }
 
-// Forward tells others what was heard.
+// Forward passes reports received from other hosts on to further hosts.
 func (g *Gossip) Forward(rs []Report, to []*net.UDPAddr) {
-	for some := range slices.Chunk(rs, maxPassed) {
+	for some := range slices.Chunk(rs, maxForwardedReports) {
 		m := &gossippb.Datagram{Passed: true}
 		for _, r := range some {
 			m.Reports = append(m.Reports, toMessage(r))
@@ -153,7 +155,7 @@
 		Reads: r.IsReader, Storeless: r.StoreUnreachable, Capacity: float64(r.Capacity),
 		Catalog: r.Catalog, Record: r.Record, Address: r.Address,
 		DataCentre:   string(r.DataCentre),
-		CatalogAgeMs: ms(r.CatalogAge), Instances: r.Instances, InstancesAgeMs: ms(r.InstancesAge),
+		CatalogAgeMs: toMillis(r.CatalogAge), Instances: r.Instances, InstancesAgeMs: toMillis(r.InstancesAge),
 	}
 	for _, u := range r.Usages {
 		m.Usages = append(m.Usages, &gossippb.Usage{
@@ -171,13 +173,13 @@
 	return m
 }
 
-func ms(d time.Duration) uint32 {
+func toMillis(d time.Duration) uint32 {
 	return uint32(min(max(d.Milliseconds(), 0), math.MaxUint32))
 }
 
 var (
-	errEmpty    = errors.New("a datagram without a report")
-	errNameless = errors.New("a report without a host")
+	errNoReports = errors.New("a datagram without a report")
+	errNoHost    = errors.New("a report without a host")
 )
 
 func decode(b []byte) (rs []Report, passed bool, err error) {
@@ -186,11 +188,11 @@
 		return nil, false, err
 	}
 	if len(m.GetReports()) == 0 {
-		return nil, false, errEmpty
+		return nil, false, errNoReports
 	}
 	for _, r := range m.GetReports() {
 		if r.GetHost() == "" {
-			return nil, false, errNameless
+			return nil, false, errNoHost
 		}
 		rs = append(rs, fromMessage(r))
 	}
--- a/io/gossip/gossip_test.go
+++ b/io/gossip/gossip_test.go
@@ -25,7 +25,7 @@
 	return g, at
 }
 
-func TestReportsAreHeard(t *testing.T) {
+func TestReportsAreReceived(t *testing.T) {
 	c := qt.New(t)
 	got := make(chan gossip.Report, 8)
 	_, to := start(c, func(rs []gossip.Report, _ bool) { got <- rs[0] })
@@ -40,7 +40,7 @@
 	}
 	address, err := net.ResolveUDPAddr("udp4", to)
 	c.Assert(err, qt.IsNil)
-	// A datagram of somebody else's is dropped, and the next is heard.
+	// A datagram that isn't a report is dropped, and the next one is received.
 	x, err := net.Dial("udp4", to)
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = x.Close() }()
@@ -57,8 +57,9 @@
 	}
 }
 
-// A door passes on what it has heard. Whoever hears it knows that the reports go no further.
-func TestReportsArePassedOn(t *testing.T) {
+// A gossip relay forwards the reports that it has received. The hosts that receive them know that
+// they must not forward them again.
+func TestReportsAreForwarded(t *testing.T) {
 	c := qt.New(t)
 	type datagram struct {
 		hosts  int
--- a/io/loop/conn.go
+++ b/io/loop/conn.go
@@ -12,29 +12,29 @@
 	"skylarkdeal/core/failure"
 )
 
-// Conn is one connection. Its callbacks run on the loop and may be nil.
+// Conn is one connection of the event loop. Its callbacks run on the loop and may be nil.
 type Conn struct {
-	// Opened is called once a dialled connection stands.
+	// Opened is called once a dialled connection is established.
 	Opened func()
-	// Data is called with all bytes that wait, and returns how many it has used.
+	// Data is called with all bytes received and not yet used, and returns how many it has used.
 	Data func(b []byte) int
-	// Closed is called once, when the connection has ended or couldn't be made.
+	// Closed is called once, when the connection has ended or couldn't be established.
 	Closed func(err error)
 
-	loop *Loop
-	c    gnet.Conn
-	// aborted is set when Close was called before the connection stood.
+	loop     *Loop
+	gnetConn gnet.Conn
+	// aborted is set if Close was called before the connection was established.
 	aborted bool
-	done    bool
-	// paused keeps bytes in the buffer until Resume.
+	ended   bool
+	// paused keeps received bytes in the buffer until Resume.
 	paused bool
 }
 
-// Dial connects to an address within timeout. The callbacks of c are to be set before.
+// Dial connects to an address within timeout. The callbacks of c have to be set before.
 func (l *Loop) Dial(c *Conn, address string, timeout time.Duration) {
 	c.loop = l
 	go func() {
-		d := net.Dialer{Timeout: timeout, Control: limitSilence}
+		d := net.Dialer{Timeout: timeout, Control: setUserTimeout}
 		nc, err := d.Dial("tcp4", address)
 		if err == nil {
 			err = l.enroll(c, nc)
@@ -46,34 +46,34 @@
 }
 
 func (l *Loop) enroll(c *Conn, nc net.Conn) error {
-	got, err := l.home.Enroll(gnet.NewContext(context.Background(), c), nc)
+	got, err := l.eventLoop.Enroll(gnet.NewContext(context.Background(), c), nc)
 	if err != nil {
 		return errors.Join(err, nc.Close())
 	}
 	return (<-got).Err
 }
 
-// unacknowledged ends a connection whose far end has not confirmed what was sent
-// to it: a machine without power sends no reset.
-const unacknowledged = 10 * time.Second
+// userTimeout ends a connection whose peer hasn't acknowledged what was sent to it: a machine
+// without power sends no reset.
+const userTimeout = 10 * time.Second
 
-// tcpUserTimeout is the number of the socket option, in milliseconds, that ends a
-// connection whose far end stays silent; the syscall package doesn't name it.
+// tcpUserTimeout is the socket option TCP_USER_TIMEOUT, in milliseconds, that ends a connection
+// whose peer doesn't acknowledge. The syscall package has no name for it.
 const tcpUserTimeout = 18
 
-func limitSilence(_, _ string, raw syscall.RawConn) error {
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
 		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout,
-			int(unacknowledged/time.Millisecond))
+			int(userTimeout/time.Millisecond))
 	})
 	return errors.Join(err, failed)
 }
 
-// OnOpen is called by gnet for each new connection.
+// OnOpen is called by gnet for each new connection, dialled or accepted.
 func (l *Loop) OnOpen(g gnet.Conn) ([]byte, gnet.Action) {
 	if c, ok := g.Context().(*Conn); ok {
-		c.c = g
+		c.gnetConn = g
 		if c.aborted {
 			return nil, gnet.Close
 		}
@@ -82,11 +82,11 @@
 		}
 		return nil, gnet.None
 	}
-	if l.home == nil {
-		l.home = g.EventLoop()
-		close(l.settled)
+	if l.eventLoop == nil {
+		l.eventLoop = g.EventLoop()
+		close(l.eventLoopFound)
 	}
-	c := &Conn{loop: l, c: g}
+	c := &Conn{loop: l, gnetConn: g}
 	g.SetContext(c)
 	if g.LocalAddr().String() == l.cfg.Peers {
 		l.cfg.AcceptPeer(c)
@@ -96,43 +96,43 @@
 	return nil, gnet.None
 }
 
-// OnTraffic is called by gnet when bytes have come.
+// OnTraffic is called by gnet when bytes have been received.
 func (l *Loop) OnTraffic(g gnet.Conn) gnet.Action {
 	c, ok := g.Context().(*Conn)
 	if !ok || c.Data == nil {
 		_, _ = g.Discard(-1)
 		return gnet.None
 	}
-	c.pass()
+	c.deliver()
 	return gnet.None
 }
 
-// pass hands over what has come, until nothing more is used.
-func (c *Conn) pass() {
-	for !c.done && !c.paused {
-		b, err := c.c.Peek(-1)
+// deliver calls Data with the received bytes until Data uses no more of them.
+func (c *Conn) deliver() {
+	for !c.ended && !c.paused {
+		b, err := c.gnetConn.Peek(-1)
 		if err != nil || len(b) == 0 {
 			return
 		}
 		n := c.Data(b)
-		if n == 0 || c.done {
+		if n == 0 || c.ended {
 			return
 		}
-		_, _ = c.c.Discard(n)
+		_, _ = c.gnetConn.Discard(n)
 	}
 }
 
-// Pause keeps what comes in the buffer until Resume is called. It may be called
+// Pause stops the calls of Data until Resume. Received bytes stay in the buffer. It may be called
 // within Data.
 func (c *Conn) Pause() { c.paused = true }
 
-// Resume has what came since Pause handed over.
+// Resume has Data called with the bytes received since Pause. It does so by Post.
 func (c *Conn) Resume() {
 	if !c.paused {
 		return
 	}
 	c.paused = false
-	c.loop.Post(c.pass)
+	c.loop.Post(c.deliver)
 }
 
 // OnClose is called by gnet when a connection has ended.
@@ -144,35 +144,36 @@
 }
 
 func (c *Conn) closed(err error) {
-	if c.done {
+	if c.ended {
 		return
 	}
-	c.done = true
+	c.ended = true
 	if c.Closed != nil {
 		c.Closed(err)
 	}
 }
 
-// Write sends b, which isn't kept. What the peer doesn't take yet is buffered.
+// Write sends b, which the caller may reuse. Bytes that the peer doesn't read yet are buffered, and
+// beyond MaxUnread the connection is closed.
 func (c *Conn) Write(b []byte) {
-	if c.done || c.c == nil {
+	if c.ended || c.gnetConn == nil {
 		return
 	}
-	_, _ = c.c.Write(b)
-	if c.loop.cfg.MaxUnread > 0 && c.c.OutboundBuffered() > c.loop.cfg.MaxUnread {
+	_, _ = c.gnetConn.Write(b)
+	if c.loop.cfg.MaxUnread > 0 && c.gnetConn.OutboundBuffered() > c.loop.cfg.MaxUnread {
 		c.Close()
 	}
 }
 
-// Close ends the connection; Closed is still called, unless it was before.
+// Close ends the connection. Closed is still called, unless it was before.
 func (c *Conn) Close() {
-	if c.c == nil {
+	if c.gnetConn == nil {
 		c.aborted = true
 		return
 	}
-	if !c.done {
-		// The end of it comes by OnClose: closing within a callback of gnet would take
-		// the connection from under it.
-		_ = c.c.CloseWithCallback(nil)
+	if !c.ended {
+		// OnClose reports the end: closing directly within a callback of gnet would free the
+		// connection while the callback still uses it.
+		_ = c.gnetConn.CloseWithCallback(nil)
 	}
 }
--- a/io/loop/loop.go
+++ b/io/loop/loop.go
@@ -1,6 +1,6 @@
-// Package loop runs the one event loop of a host: the connections of callers and to
-// instances, and the calls that other goroutines hand over. All callbacks run on the
-// loop, so that what they share needs no lock.
+// Package loop runs the single event loop of a host: the connections from callers, from other hosts
+// and to instances, and the functions that other goroutines post. All callbacks run on the loop, so
+// that the data they share needs no lock.
 package loop
 
 import (
@@ -17,71 +17,74 @@
 )
 
 const (
-	// readBuffer is what is read from a socket at a time.
+	// readBuffer is the capacity in bytes of the buffers for reading from and writing to a socket.
 	readBuffer = 64 << 10
-	// keepAlive finds callers that left without a sign.
+	// keepAlive detects callers whose connection was lost without a reset.
 	keepAlive = 30 * time.Second
-	// stopTimeout bounds the end of the loop.
+	// stopTimeout bounds Stop, and the connection by which Start finds the event loop.
 	stopTimeout = 2 * time.Second
 )
 
-// Config is what a Loop works with.
+// Config configures a Loop.
 type Config struct {
 	// Address is where callers connect.
 	Address string
-	// Accept is called with a new caller's connection, whose callbacks it sets.
+	// Accept is called with each new connection of a caller, and sets its callbacks.
 	Accept func(c *Conn)
-	// Peers is where other hosts connect, AcceptPeer what takes their connections.
+	// Peers is where other hosts connect. AcceptPeer is called with each of their connections and
+	// sets its callbacks.
 	Peers      string
 	AcceptPeer func(c *Conn)
-	// Tick is called after each span that TickInterval returns.
+	// Tick is called repeatedly, each time after the interval that TickInterval returns.
+	// TickInterval is called on another goroutine.
 	Tick         func()
 	TickInterval func() time.Duration
-	// MaxUnread bounds the bytes that wait for a peer which doesn't read; beyond it
-	// the connection is closed.
+	// MaxUnread bounds the bytes that are buffered for a peer that doesn't read them. Beyond it the
+	// connection is closed. Zero means no bound.
 	MaxUnread int
 	Logger    *zap.Logger
 }
 
-// Loop is one running event loop.
+// Loop is a running event loop. Its methods OnBoot, OnOpen, OnTraffic and OnClose are for gnet
+// only.
 type Loop struct {
 	gnet.BuiltinEventEngine
 
-	cfg    Config
-	engine gnet.Engine
-	booted chan struct{}
-	ended  chan struct{}
-	err    error
-	// home is the event loop; it is set once settled is closed.
-	home    gnet.EventLoop
-	settled chan struct{}
-	// hurry tells that TickInterval may return less now.
-	hurry chan struct{}
-	// ticking is set while a tick waits for the loop, so that a busy loop isn't given
-	// ticks faster than it takes them.
-	ticking atomic.Bool
+	cfg       Config
+	engine    gnet.Engine
+	listening chan struct{}
+	ended     chan struct{}
+	err       error
+	// eventLoop is gnet's event loop; it is set once eventLoopFound is closed.
+	eventLoop      gnet.EventLoop
+	eventLoopFound chan struct{}
+	// tickRequested is signalled when TickInterval may return a shorter interval.
+	tickRequested chan struct{}
+	// tickPending is set while a tick waits for the loop, so that a busy loop doesn't get ticks
+	// faster than it handles them.
+	tickPending atomic.Bool
 }
 
-// Start begins to listen and returns once callers can connect.
+// Start listens, and returns once callers can connect.
 func Start(cfg Config) (*Loop, error) {
 	if cfg.Logger == nil {
 		cfg.Logger = zap.NewNop()
 	}
 	l := &Loop{
-		cfg: cfg, booted: make(chan struct{}), ended: make(chan struct{}), settled: make(chan struct{}),
-		hurry: make(chan struct{}, 1),
+		cfg: cfg, listening: make(chan struct{}), ended: make(chan struct{}), eventLoopFound: make(chan struct{}),
+		tickRequested: make(chan struct{}, 1),
 	}
 	go l.run()
 	select {
-	case <-l.booted:
+	case <-l.listening:
 	case <-l.ended:
 		return nil, failure.At(l.err, "listen", failure.Peer(cfg.Address))
 	}
-	if err := l.settle(); err != nil {
+	if err := l.findEventLoop(); err != nil {
 		return nil, failure.At(errors.Join(err, l.Stop()), "start the event loop", failure.Peer(cfg.Address))
 	}
 	if cfg.Tick != nil {
-		go l.tick()
+		go l.runTicker()
 	}
 	return l, nil
 }
@@ -106,57 +109,57 @@
 	}
 }
 
-// settle finds the event loop that calls are handed to. gnet tells it only of a
-// connection, so the loop is connected to once.
-func (l *Loop) settle() error {
+// findEventLoop finds the event loop to which functions are posted. gnet makes it known only with a
+// connection, so this connects to the loop once.
+func (l *Loop) findEventLoop() error {
 	c, err := net.DialTimeout("tcp4", l.cfg.Address, stopTimeout)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = c.Close() }()
 	select {
-	case <-l.settled:
+	case <-l.eventLoopFound:
 		return nil
 	case <-l.ended:
 		return l.err
 	}
 }
 
-func (l *Loop) tick() {
+func (l *Loop) runTicker() {
 	t := time.NewTimer(l.cfg.TickInterval())
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-		case <-l.hurry:
+		case <-l.tickRequested:
 			t.Reset(l.cfg.TickInterval())
 			continue
 		case <-l.ended:
 			return
 		}
 		t.Reset(l.cfg.TickInterval())
-		if l.ticking.Swap(true) {
+		if l.tickPending.Swap(true) {
 			continue
 		}
 		l.Post(func() {
-			l.ticking.Store(false)
+			l.tickPending.Store(false)
 			l.cfg.Tick()
 		})
 	}
 }
 
-// RequestTick has TickInterval asked again before the next tick.
+// RequestTick has TickInterval called again before the next tick.
 func (l *Loop) RequestTick() {
 	select {
-	case l.hurry <- struct{}{}:
+	case l.tickRequested <- struct{}{}:
 	default:
 	}
 }
 
-// runnable adapts a function to gnet.
+// runnable adapts a function to gnet's interface for tasks.
 type runnable func()
 
-// Run is called by the event loop.
+// Run calls the function. gnet calls it on the event loop.
 func (r runnable) Run(context.Context) error {
 	r()
 	return nil
@@ -164,13 +167,13 @@
 
 // Post has f called on the loop. After the loop has stopped it does nothing.
 func (l *Loop) Post(f func()) {
-	_ = l.home.Execute(context.Background(), runnable(f))
+	_ = l.eventLoop.Execute(context.Background(), runnable(f))
 }
 
-// Ended is closed once the loop has stopped.
+// Ended returns a channel that is closed once the loop has stopped.
 func (l *Loop) Ended() <-chan struct{} { return l.ended }
 
-// Stop closes all connections and ends the loop.
+// Stop closes all connections and stops the loop.
 func (l *Loop) Stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
@@ -182,6 +185,6 @@
 // OnBoot is called by gnet once it listens.
 func (l *Loop) OnBoot(e gnet.Engine) gnet.Action {
 	l.engine = e
-	close(l.booted)
+	close(l.listening)
 	return gnet.None
 }
--- a/io/loop/loop_test.go
+++ b/io/loop/loop_test.go
@@ -13,7 +13,7 @@
 	"skylarkdeal/io/loop"
 )
 
-func free(c *qt.C) string {
+func freeAddress(c *qt.C) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = l.Close() }()
@@ -21,14 +21,14 @@
 }
 
 func start(c *qt.C, cfg loop.Config) (*loop.Loop, string) {
-	cfg.Address = free(c)
+	cfg.Address = freeAddress(c)
 	l, err := loop.Start(cfg)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { c.Check(l.Stop(), qt.IsNil) })
 	return l, cfg.Address
 }
 
-// lines calls f with each line that comes on c.
+// lines calls f with each line received on c.
 func lines(c *loop.Conn, f func(line string)) {
 	c.Data = func(b []byte) int {
 		for n := range b {
@@ -41,8 +41,8 @@
 	}
 }
 
-// A caller sends its next statements before the answer to the first. They have to wait for
-// it, in their order, whatever parts they come in.
+// A caller sends its next statements before the answer to the first one. They have to wait for it,
+// in their order, however the bytes are split.
 func TestPausedConnectionKeepsWhatComes(t *testing.T) {
 	c := qt.New(t)
 	started := make(chan *loop.Loop, 1)
@@ -92,13 +92,13 @@
 	c.Assert(<-got, qt.Equals, "closed")
 }
 
-// An instance is gone: the connection is refused. And one that is given up before it stands
-// must not come to life afterwards.
-func TestConnectionsThatNeverStand(t *testing.T) {
+// An instance is down: the connection is refused. And a connection that is closed before it is
+// established must not open afterwards.
+func TestConnectionsThatAreNeverEstablished(t *testing.T) {
 	c := qt.New(t)
 	l, at := start(c, loop.Config{Accept: func(*loop.Conn) {}})
 	failed := make(chan error, 1)
-	l.Dial(&loop.Conn{Closed: func(err error) { failed <- err }}, free(c), time.Second)
+	l.Dial(&loop.Conn{Closed: func(err error) { failed <- err }}, freeAddress(c), time.Second)
 	c.Assert(<-failed, qt.ErrorMatches, "connect with .*refused")
 
 	k := &loop.Conn{Opened: func() { c.Error("a connection that was given up has opened") }}
@@ -115,7 +115,7 @@
 	}
 }
 
-// A peer reads nothing. What is written to it must not fill the memory of the host.
+// A peer reads nothing. What is written to it must not fill the host's memory.
 func TestPeerThatDoesNotReadIsCutOff(t *testing.T) {
 	c := qt.New(t)
 	closed := make(chan struct{})
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestTicksFollowTheSpanThatIsAskedFor(t *testing.T) {
+func TestTicksFollowTheTickInterval(t *testing.T) {
 	c := qt.New(t)
 	slow := make(chan struct{})
 	ticks := make(chan time.Time, 100)
