--- a/io/registry/follow_test.go
+++ b/io/registry/follow_test.go
@@ -106,7 +106,9 @@
 	s.put("our/hosts-count", "295")
 	r, got, _ := startElecting(c, s)
 	r.SetHostCount(295)
-	until(c, got, "the coordinator role", func() bool { return len(got.coordinator) > 0 && got.coordinator[len(got.coordinator)-1] })
+	until(c, got, "the coordinator role", func() bool {
+		return len(got.coordinator) > 0 && got.coordinator[len(got.coordinator)-1]
+	})
 	storedReaders := func() (value string) {
 		s.locked(func() { value = string(s.entries["our/hosts-readers"].Value) })
 		return value
@@ -138,9 +140,13 @@
 	s := newMemStore()
 	s.put("our/hosts-count", "6")
 	r, got, _ := startElecting(c, s)
-	until(c, got, "the coordinator role", func() bool { return len(got.coordinator) > 0 && got.coordinator[len(got.coordinator)-1] })
+	until(c, got, "the coordinator role", func() bool {
+		return len(got.coordinator) > 0 && got.coordinator[len(got.coordinator)-1]
+	})
 	r.SetRole(follow.RoleFollower)
-	until(c, got, "the end of it", func() bool { return got.registrationsLost > 0 && !got.coordinator[len(got.coordinator)-1] })
+	until(c, got, "the end of it", func() bool {
+		return got.registrationsLost > 0 && !got.coordinator[len(got.coordinator)-1]
+	})
 	c.Assert(s.callCount("end"), qt.Equals, 1)
 	renewed := s.callCount("renew")
 	time.Sleep(700 * time.Millisecond)
@@ -238,7 +244,9 @@
 	r.SetHostCount(295)
 	until(c, got, "a role", func() bool { return roles.role != "" })
 	s.registerHost("h-new")
-	until(c, got, "the coordinator role", func() bool { return len(got.coordinator) > 0 && got.coordinator[len(got.coordinator)-1] })
+	until(c, got, "the coordinator role", func() bool {
+		return len(got.coordinator) > 0 && got.coordinator[len(got.coordinator)-1]
+	})
 	storedReaders := func() (value string) {
 		s.locked(func() { value = string(s.entries["our/hosts-readers"].Value) })
 		return value
--- a/io/registry/operator_entries_test.go
+++ b/io/registry/operator_entries_test.go
@@ -7,15 +7,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// evacuated returns the evacuated data centres of the last catalog, and the number of catalogs
-// reported.
+// evacuated returns the evacuated data centres of the last catalog, and the number of
+// reported ones.
 func (t *callbackLog) evacuated() (last []string, count int) {
-	if n := len(t.catalogs); n > 0 {
-		for _, dc := range t.catalogs[n-1].Evacuated.Sorted() {
+	if n := len(t.catalogList); n > 0 {
+		for _, dc := range t.catalogList[n-1].Evacuated.Sorted() {
 			last = append(last, string(dc))
 		}
 	}
-	return last, len(t.catalogs)
+	return last, len(t.catalogList)
 }
 
 // Guards against an evacuation that is never applied or never reverted, also if watches miss the
@@ -26,15 +26,15 @@
 		s := newMemStore()
 		s.put("catalog", "3")
 		_, got := startRegistry(c, s)
-		until(c, got, "a catalog", func() bool { return len(got.catalogs) > 0 })
+		until(c, got, "a catalog", func() bool { return len(got.catalogList) > 0 })
 		s.locked(func() { s.missChanges = deaf })
 		s.put("catalog/obihiro", "{}")
 		until(c, got, "the evacuation", func() bool { last, _ := got.evacuated(); return len(last) == 1 })
 		s.remove("catalog/obihiro")
 		until(c, got, "its end", func() bool { last, _ := got.evacuated(); return len(last) == 0 })
 		got.locked(func() {
-			for n := range got.catalogs[1:] {
-				c.Check(got.catalogs[n+1].Newer(got.catalogs[n]), qt.IsTrue)
+			for n := range got.catalogList[1:] {
+				c.Check(got.catalogList[n+1].Newer(got.catalogList[n]), qt.IsTrue)
 			}
 		})
 	}
@@ -46,7 +46,7 @@
 	s := newMemStore()
 	s.put("catalog", "3")
 	_, got := startRegistry(c, s)
-	until(c, got, "a catalog", func() bool { return len(got.catalogs) > 0 })
+	until(c, got, "a catalog", func() bool { return len(got.catalogList) > 0 })
 	s.put("catalog", "rubbish")
 	s.put("catalog/obihiro", "{}")
 	until(c, got, "the evacuation", func() bool { last, _ := got.evacuated(); return len(last) == 1 })
@@ -59,7 +59,7 @@
 	s := newMemStore()
 	s.put("catalog", "3")
 	_, got := startRegistry(c, s)
-	until(c, got, "a catalog", func() bool { return len(got.catalogs) > 0 })
+	until(c, got, "a catalog", func() bool { return len(got.catalogList) > 0 })
 	time.Sleep(2 * time.Second)
-	got.locked(func() { c.Check(got.catalogs, qt.HasLen, 1) })
+	got.locked(func() { c.Check(got.catalogList, qt.HasLen, 1) })
 }
--- a/io/registry/registry.go
+++ b/io/registry/registry.go
@@ -189,7 +189,8 @@
 		recordsRefresh: make(chan struct{}, 1), hostsRefresh: make(chan struct{}, 1),
 		catalogRefresh: make(chan struct{}, 1), instancesRefresh: make(chan struct{}, 1),
 		roleChanged: make(chan struct{}, 1), records: map[string]Entry{},
-		storeHealth: dependency{name: "store", log: cfg.Logger}, promotionRequests: ring.New[leader.PromotionRequest](maxQueuedPromotions),
+		storeHealth:       dependency{name: "store", log: cfg.Logger},
+		promotionRequests: ring.New[leader.PromotionRequest](maxQueuedPromotions),
 	}
 }
 
--- a/io/registry/registry_test.go
+++ b/io/registry/registry_test.go
@@ -24,7 +24,7 @@
 	recordedAt, promotedAt time.Time
 	mu                     sync.Mutex
 	versions               []catalog.Version
-	catalogs               []*catalog.Catalog
+	catalogList            []*catalog.Catalog
 	records                []leader.Record
 	hosts                  []registry.Host
 	coordinator            []bool
@@ -106,7 +106,7 @@
 		Rank:          func() int { return rank },
 		Post:          func(f func()) { got.locked(f) },
 		Catalog: func(d *catalog.Catalog) {
-			got.versions, got.catalogs = append(got.versions, d.Version), append(got.catalogs, d)
+			got.versions, got.catalogList = append(got.versions, d.Version), append(got.catalogList, d)
 		},
 		Instances:           func(is []catalog.Instance, _ time.Time) { got.instances = len(is) },
 		Hosts:               func(hs []registry.Host) { got.hosts = hs },
