--- a/io/registry/lists.go
+++ b/io/registry/lists.go
@@ -61,7 +61,7 @@
 }
 
 // startupReadDelay is how long a starting host that finds the list empty waits before it reads it
-// again. By then it has heard which hosts read before it. Without the delay, all hosts of a fleet
+// again. By then it knows which hosts read before it. Without the delay, all hosts of a fleet
 // that starts at once rank themselves first, and four readings a second by each are more than the
 // store can take from a large fleet.
 const startupReadDelay = 800 * time.Millisecond
