--- a/core/relay/conn.go
+++ b/core/relay/conn.go
@@ -165,11 +165,11 @@
 	dialled := c.since
 	c.setState(connIdle)
 	c.inst.heard(r.now())
-	if c.inst.lost {
-		c.inst.lost, c.inst.back = false, r.now()
+	if c.inst.disconnected {
+		c.inst.disconnected, c.inst.reconnectedAt = false, r.now()
 	}
-	c.inst.crowded = 0
-	c.g.evidence(c, dialled, a)
+	c.inst.connLimitRefusals = 0
+	c.g.addPosition(c, dialled, a)
 	c.g.pump()
 }
 
@@ -187,7 +187,7 @@
 	if c.via == "" {
 		c.inst.heard(r.now())
 	}
-	c.g.evidence(c, o.asked, a)
+	c.g.addPosition(c, o.asked, a)
 	if o.done != nil {
 		o.done(a)
 	}
@@ -199,8 +199,8 @@
 	if c.state == connClosed {
 		return
 	}
-	c.inst.turned(r.now(), c.since, code)
-	r.note(Event{
+	c.inst.connectRefused(r.now(), c.since, code)
+	r.logEvent(Event{
 		Kind: EventInstance, Service: c.Service, Instance: c.Instance, Account: c.Account,
 		Choice: "connection refused", Reason: detail, Code: code,
 	})
@@ -216,11 +216,11 @@
 	if err != nil {
 		why = err.Error()
 	}
-	if c.state == connDialling || len(c.owed) > 0 && !c.inst.heardLately(r.now()) {
-		c.inst.failed(r.now(), why)
+	if c.state == connDialling || len(c.owed) > 0 && !c.inst.heardRecently(r.now()) {
+		c.inst.addFailure(r.now(), why)
 	}
 	c.lost(why)
-	c.inst.lost = c.inst.lost || len(c.inst.conns) == 0
+	c.inst.disconnected = c.inst.disconnected || len(c.inst.conns) == 0
 }
 
 // lost closes the connection and settles what ran on it.
@@ -232,7 +232,7 @@
 	c.inst.remove(c)
 	if c.via != "" {
 		delete(c.g.r.forwarding.virtual, c.stream)
-		c.inst.lent--
+		c.inst.forwardedCount--
 	}
 	if c.Close != nil {
 		c.Close()
@@ -245,7 +245,7 @@
 		s.tx.failed = true
 	}
 	if op != nil {
-		op.cut(why)
+		op.connLost(why)
 	}
 	c.g.pump()
 }
@@ -262,7 +262,7 @@
 	if c.state == connClosed {
 		return
 	}
-	if c.inst.gone || c.via != "" || c.spoilt {
+	if c.inst.removed || c.via != "" || c.spoilt {
 		c.retire()
 		return
 	}
@@ -303,9 +303,9 @@
 	asked := c.since
 	q := statement.Statement{Kind: statement.KindStepDown, Term: t}
 	c.send([]statement.Statement{q}, nil, func(a statement.Answer) {
-		c.g.told(c, asked, a)
+		c.g.handleStatus(c, asked, a)
 		if a.Code == statement.CodeUnreachable && c.via != "" {
-			c.inst.block(c.via)
+			c.inst.blockHost(c.via)
 		}
 		if c.state == connBusy {
 			c.free()
--- a/core/relay/connections.go
+++ b/core/relay/connections.go
@@ -50,8 +50,8 @@
 		// tries bound what asking again costs.
 		return max(leastCap, i.total()-i.strays())
 	}
-	if !i.full.IsZero() && now.Sub(i.full) < fullFor {
-		return max(1, min(i.room, n))
+	if !i.connLimitAt.IsZero() && now.Sub(i.connLimitAt) < fullFor {
+		return max(1, min(i.connsAtLimit, n))
 	}
 	return n
 }
@@ -146,7 +146,7 @@
 
 // connect makes a connection for an operation, if there is room.
 func (i *instance) connect(now time.Time, o *operation) *Conn {
-	paused := now.Before(i.next)
+	paused := now.Before(i.nextDial)
 	if paused && i.failures > 0 || i.saturated(o.s.account) {
 		return nil
 	}
@@ -212,7 +212,7 @@
 		keep = i.cap(now)
 	}
 	for _, c := range slices.Clone(i.conns) {
-		if c.state == connIdle && (i.gone || len(i.conns) > keep && now.Sub(c.since) > rest) {
+		if c.state == connIdle && (i.removed || len(i.conns) > keep && now.Sub(c.since) > rest) {
 			c.retire()
 		}
 	}
--- a/core/relay/duty.go
+++ b/core/relay/duty.go
@@ -8,63 +8,63 @@
 	"skylarkdeal/core/statement"
 )
 
-// duty is this host's part in changes of primary.
-type duty struct {
-	// holds is set while this host is the one that gives orders.
-	holds bool
-	// doubts are what the other hosts can't reach, with when they said so.
-	doubts map[fleet.Host]doubt
+// coordination is this host's part in changes of primary.
+type coordination struct {
+	// active is set while this host is the one that gives orders.
+	active bool
+	// reports are what the other hosts can't reach, with when they said so.
+	reports map[fleet.Host]reachabilityReport
 }
 
-// doubt is what another host has told last. since is when it began to be heard: what it
+// reachabilityReport is what another host has told last. since is when it began to be heard: what it
 // told after a silence is old.
-type doubt struct {
-	at, since time.Time
-	// instances are those that it can't reach, reached those that it can although another
+type reachabilityReport struct {
+	receivedAt, continuousSince time.Time
+	// unreachable are those that it can't reach, reachable those that it can although another
 	// host can't.
-	instances, reached fleet.Set[fleet.Instance]
+	unreachable, reachable fleet.Set[fleet.Instance]
 }
 
-// told reports whether the host has told its doubts lately.
-func (d doubt) told(now time.Time) bool { return now.Sub(d.at) < reportFor }
+// recent reports whether the host has recent its doubts lately.
+func (d reachabilityReport) recent(now time.Time) bool { return now.Sub(d.receivedAt) < reportValidity }
 
-// counts reports whether the host's word is to be heard on who can be reached. One that
+// trusted reports whether the host's word is to be heard on who can be reached. One that
 // was cut off finds its way back to the instances only after it is heard again, and its
 // doubts would replace a primary that all others reach.
-func (d doubt) counts(now time.Time) bool {
-	return d.told(now) && now.Sub(d.since) >= reportFor
+func (d reachabilityReport) trusted(now time.Time) bool {
+	return d.recent(now) && now.Sub(d.continuousSince) >= reportValidity
 }
 
 const (
-	// doubtAfter is how long an instance has to be silent, with a failed try to reach it,
+	// suspectAfter is how long an instance has to be silent, with a failed try to reach it,
 	// before this host counts as unable to reach it.
-	doubtAfter = 300 * time.Millisecond
-	// reachedFor is how old the last word of an instance may be for this host to say that it
+	suspectAfter = 300 * time.Millisecond
+	// reachableFor is how old the last word of an instance may be for this host to say that it
 	// reaches it.
-	reachedFor = 400 * time.Millisecond
-	// reportFor is how long what a host has told of its doubts counts.
-	reportFor = time.Second
-	// surveyFor is how long the replicas get to tell their positions before an order: some
+	reachableFor = 400 * time.Millisecond
+	// reportValidity is how long what a host has told of its doubts counts.
+	reportValidity = time.Second
+	// positionRequestWait is how long the replicas get to tell their positions before an order: some
 	// round trips across data centres.
-	surveyFor = 30 * time.Millisecond
-	// surveyLimit is when the question is put again, if none has answered.
-	surveyLimit = 400 * time.Millisecond
+	positionRequestWait = 30 * time.Millisecond
+	// positionRequestRetry is when the question is put again, if none has answered.
+	positionRequestRetry = 400 * time.Millisecond
 )
 
 // IsCoordinator reports whether this host is the one that gives orders.
-func (r *Relay) IsCoordinator() bool { return r.duty.holds }
+func (r *Relay) IsCoordinator() bool { return r.duty.active }
 
 // SetCoordinator tells whether this host is the one that gives orders.
-func (r *Relay) SetCoordinator(holds bool) {
-	if holds == r.duty.holds {
+func (r *Relay) SetCoordinator(active bool) {
+	if active == r.duty.active {
 		return
 	}
-	r.duty.holds = holds
+	r.duty.active = active
 	choice := "give up the duty"
-	if holds {
+	if active {
 		choice = "take the duty"
 	}
-	r.note(Event{Kind: EventLeader, Choice: choice, Reason: "the store's key for changes of primary"})
+	r.logEvent(Event{Kind: EventLeader, Choice: choice, Reason: "the store's key for changes of primary"})
 }
 
 // Unreachable returns the instances that this host can't reach now, with for how long.
@@ -73,7 +73,7 @@
 	out := map[fleet.Instance]time.Duration{}
 	for _, g := range r.groups {
 		for _, i := range g.instances {
-			if i.doubtful(now) && !i.gone {
+			if i.suspected(now) && !i.removed {
 				out[i.info.Name] = now.Sub(i.lastHeard)
 			}
 		}
@@ -88,7 +88,7 @@
 	var out []fleet.Instance
 	for _, g := range r.groups {
 		for _, i := range g.instances {
-			if now.Sub(i.lastHeard) < reachedFor && r.doubtedElsewhere(now, i.info.Name) {
+			if now.Sub(i.lastHeard) < reachableFor && r.suspectedByOther(now, i.info.Name) {
 				out = append(out, i.info.Name)
 			}
 		}
@@ -96,9 +96,9 @@
 	return out
 }
 
-func (r *Relay) doubtedElsewhere(now time.Time, n fleet.Instance) bool {
-	for _, d := range r.duty.doubts {
-		if d.told(now) && d.instances.Has(n) {
+func (r *Relay) suspectedByOther(now time.Time, n fleet.Instance) bool {
+	for _, d := range r.duty.reports {
+		if d.recent(now) && d.unreachable.Has(n) {
 			return true
 		}
 	}
@@ -107,21 +107,21 @@
 
 // AddReachability takes in what another host can't reach, and what it can although others can't.
 // Who hears of a doubt and is a witness looks for itself.
-func (r *Relay) AddReachability(from fleet.Host, is, reached []fleet.Instance) {
+func (r *Relay) AddReachability(from fleet.Host, unreachable, reachable []fleet.Instance) {
 	now := r.now()
-	if r.duty.doubts == nil {
-		r.duty.doubts = map[fleet.Host]doubt{}
+	if r.duty.reports == nil {
+		r.duty.reports = map[fleet.Host]reachabilityReport{}
 	}
-	d := r.duty.doubts[from]
-	if !d.told(now) {
-		d.since = now
+	d := r.duty.reports[from]
+	if !d.recent(now) {
+		d.continuousSince = now
 	}
-	d.at, d.instances, d.reached = now, setOf(is), setOf(reached)
-	r.duty.doubts[from] = d
-	for _, n := range is {
+	d.receivedAt, d.unreachable, d.reachable = now, setOf(unreachable), setOf(reachable)
+	r.duty.reports[from] = d
+	for _, n := range unreachable {
 		for _, g := range r.groups {
 			i := g.instances[n]
-			if i == nil || i.gone || now.Sub(i.lastHeard) <= wonderAfter || now.Sub(i.askedAt) <= wonderAfter {
+			if i == nil || i.removed || now.Sub(i.lastHeard) <= probeAfter || now.Sub(i.askedAt) <= probeAfter {
 				continue
 			}
 			if r.witness(i) && !i.spared(now) {
@@ -132,106 +132,106 @@
 }
 
 // setOf returns a set, nil for none: hundreds of reports a second have nothing to doubt.
-func setOf(is []fleet.Instance) fleet.Set[fleet.Instance] {
-	if len(is) == 0 {
+func setOf(instances []fleet.Instance) fleet.Set[fleet.Instance] {
+	if len(instances) == 0 {
 		return nil
 	}
-	return fleet.NewSet(is...)
+	return fleet.NewSet(instances...)
 }
 
-func (i *instance) doubtful(now time.Time) bool {
-	return i.failures > 0 && now.Sub(i.lastHeard) > doubtAfter && now.Sub(i.failing) > doubtAfter/4
+func (i *instance) suspected(now time.Time) bool {
+	return i.failures > 0 && now.Sub(i.lastHeard) > suspectAfter && now.Sub(i.failingSince) > suspectAfter/4
 }
 
 // RecordRevision returns the revision of the newest record of an order that the host knows of.
 func (r *Relay) RecordRevision() uint64 {
 	var last uint64
 	for _, g := range r.groups {
-		last = max(last, g.belief.Record().Revision)
+		last = max(last, g.primaryState.Record().Revision)
 	}
 	return last
 }
 
-// decide gives an order for the group if it needs one and this host has the duty.
+// decidePromotion gives an order for the group if it needs one and this host has the duty.
 //
 // The replicas are asked for their positions first: what the chosen one lacks is lost,
 // and what was heard of them last may be old.
-func (g *group) decide(now time.Time) {
-	if !g.r.duty.holds || !g.r.lease.RecordsCurrent(now) || now.Before(g.ordering) {
-		g.surveyed = time.Time{}
+func (g *group) decidePromotion(now time.Time) {
+	if !g.r.duty.active || !g.r.lease.RecordsCurrent(now) || now.Before(g.nextPromotionAt) {
+		g.positionsAskedAt = time.Time{}
 		return
 	}
-	if i := g.instances[g.belief.DesignatedPrimary()]; i != nil && i.leads {
-		if o, ok := g.belief.ConfirmingRequest(i.info.Name, i.term, g.given, now); ok {
-			g.order(now, o)
+	if i := g.instances[g.primaryState.DesignatedPrimary()]; i != nil && i.leads {
+		if o, ok := g.primaryState.ConfirmingRequest(i.info.Name, i.term, g.promotionAcceptedAt, now); ok {
+			g.requestPromotion(now, o)
 			return
 		}
 	}
-	if !g.belief.NeedsPromotion(g.situation(now)) {
-		g.surveyed = time.Time{}
+	if !g.primaryState.NeedsPromotion(g.groupStatus(now)) {
+		g.positionsAskedAt = time.Time{}
 		return
 	}
-	if g.surveyed.IsZero() || now.Sub(g.surveyed) > surveyLimit {
-		g.surveyed = now
+	if g.positionsAskedAt.IsZero() || now.Sub(g.positionsAskedAt) > positionRequestRetry {
+		g.positionsAskedAt = now
 	}
 	for _, i := range g.instances {
-		if i.usable() && i.toldAt.Before(g.surveyed) && now.Sub(i.askedAt) >= askAgain {
-			g.question(now, i)
+		if i.usable() && i.statusAt.Before(g.positionsAskedAt) && now.Sub(i.askedAt) >= statusRequestInterval {
+			g.requestStatus(now, i)
 		}
 	}
-	if now.Sub(g.surveyed) < surveyFor {
+	if now.Sub(g.positionsAskedAt) < positionRequestWait {
 		return
 	}
-	o, ok := g.belief.Decide(g.situation(now))
+	o, ok := g.primaryState.Decide(g.groupStatus(now))
 	if !ok {
 		return
 	}
-	g.surveyed = time.Time{}
-	g.order(now, o)
+	g.positionsAskedAt = time.Time{}
+	g.requestPromotion(now, o)
 }
 
-func (g *group) order(now time.Time, o leader.PromotionRequest) {
-	g.given = time.Time{}
-	g.ordering = now.Add(orderPause)
+func (g *group) requestPromotion(now time.Time, o leader.PromotionRequest) {
+	g.promotionAcceptedAt = time.Time{}
+	g.nextPromotionAt = now.Add(promotionRequestPause)
 	o.Service = g.name
-	g.r.note(Event{
+	g.r.logEvent(Event{
 		Kind: EventLeader, Service: g.name, Instance: o.Primary, Term: o.Term,
 		Choice: "order a change of primary", Reason: string(o.Reason), RequiredPoint: g.instances[o.Primary].received,
 	})
 	g.r.cfg.RequestPromotion(o)
 }
 
-// orderPause keeps a host from giving a second order before the first one's record, or
+// promotionRequestPause keeps a host from giving a second order before the first one's record, or
 // its failure, has come back.
-const orderPause = time.Second
+const promotionRequestPause = time.Second
 
-func (g *group) situation(now time.Time) leader.GroupStatus {
-	s := leader.GroupStatus{Now: now, Since: g.unsettled}
-	if g.belief.Record().Revision != 0 && g.changedAt.After(s.Since) {
-		s.Since = g.changedAt
+func (g *group) groupStatus(now time.Time) leader.GroupStatus {
+	s := leader.GroupStatus{Now: now, Since: g.unconfirmedSince}
+	if g.primaryState.Record().Revision != 0 && g.promotionKnownAt.After(s.Since) {
+		s.Since = g.promotionKnownAt
 	}
 	for _, i := range g.instances {
 		m := leader.InstanceInfo{
-			Name: i.info.Name, Leaving: i.info.Leaving || i.evacuated(), Gone: i.gone,
+			Name: i.info.Name, Leaving: i.info.Leaving || i.evacuated(), Gone: i.removed,
 			Cold: i.isCold(now), OutsideRegion: g.abroad(i),
-			Reachable: i.failures == 0 && !i.toldAt.Before(g.surveyed), Received: i.received,
-			Leads: i.leads, Term: i.term, UnreachableFor: now.Sub(i.doubted),
+			Reachable: i.failures == 0 && !i.statusAt.Before(g.positionsAskedAt), Received: i.received,
+			Leads: i.leads, Term: i.term, UnreachableFor: now.Sub(i.suspectedSince),
 		}
 		switch {
-		case i.doubtful(now):
+		case i.suspected(now):
 			m.UnreachableFrom++
-		case now.Sub(i.lastHeard) < reachedFor:
+		case now.Sub(i.lastHeard) < reachableFor:
 			m.ReachableFrom++
 		}
-		for _, d := range g.r.duty.doubts {
-			if d.counts(now) && d.instances.Has(i.info.Name) {
+		for _, d := range g.r.duty.reports {
+			if d.trusted(now) && d.unreachable.Has(i.info.Name) {
 				m.UnreachableFrom++
-			} else if d.counts(now) && d.reached.Has(i.info.Name) {
+			} else if d.trusted(now) && d.reachable.Has(i.info.Name) {
 				m.ReachableFrom++
 			}
 		}
 		if m.UnreachableFrom == 0 {
-			i.doubted = now
+			i.suspectedSince = now
 			m.UnreachableFor = 0
 		}
 		s.Instances = append(s.Instances, m)
@@ -241,18 +241,18 @@
 
 // PromotionFinished takes in how an order has gone: given with success, or refused because the
 // instance isn't running.
-func (r *Relay) PromotionFinished(o leader.PromotionRequest, given, refused bool) {
+func (r *Relay) PromotionFinished(o leader.PromotionRequest, accepted, refused bool) {
 	g := r.group(o.Service)
-	if given {
-		g.given = r.now()
+	if accepted {
+		g.promotionAcceptedAt = r.now()
 	}
 	if i := g.instances[o.Primary]; refused && i != nil {
-		i.failed(r.now(), "the platform says that it isn't running")
+		i.addFailure(r.now(), "the platform says that it isn't running")
 	}
 	if refused {
-		g.ordering = time.Time{}
-		g.changedAt = time.Time{}
-		g.unsettled = time.Time{}
+		g.nextPromotionAt = time.Time{}
+		g.promotionKnownAt = time.Time{}
+		g.unconfirmedSince = time.Time{}
 	}
 }
 
@@ -261,17 +261,17 @@
 func (r *Relay) RequestStepDown(o leader.PromotionRequest) {
 	g := r.group(o.Service)
 	i := g.instances[o.Former]
-	if i == nil || g.belief.Record().Primary != o.Primary {
+	if i == nil || g.primaryState.Record().Primary != o.Primary {
 		return
 	}
-	g.r.note(Event{
+	g.r.logEvent(Event{
 		Kind: EventLeader, Service: g.name, Instance: o.Former, Term: o.Term,
 		Choice: "step down", Reason: "its successor is about to lead",
 	})
 	a, ok := g.anyAccount()
-	if p, over := r.holder(i); over && ok && p.Send != nil {
+	if p, forwarded := r.holder(i); forwarded && ok && p.Send != nil {
 		i.over(p, a).stepDown(o.Term, nil)
 		return
 	}
-	g.inquire(o.Former, o.Term, func(statement.Answer) {})
+	g.requestForPeer(o.Former, o.Term, func(statement.Answer) {})
 }
--- a/core/relay/evacuation.go
+++ b/core/relay/evacuation.go
@@ -28,7 +28,7 @@
 	for dc := range r.evacuated {
 		if !c.Evacuated.Has(dc) {
 			delete(r.evacuated, dc)
-			r.note(Event{Kind: EventInstance, DataCentre: dc, Choice: "use again", Reason: "its evacuation was taken back"})
+			r.logEvent(Event{Kind: EventInstance, DataCentre: dc, Choice: "use again", Reason: "its evacuation was taken back"})
 		}
 	}
 	for _, dc := range c.Evacuated.Sorted() {
@@ -40,14 +40,14 @@
 		if !r.hasInstances(dc) {
 			why += "; no instance is known there"
 		}
-		r.note(Event{Kind: EventInstance, DataCentre: dc, Choice: "no new work", Reason: why})
+		r.logEvent(Event{Kind: EventInstance, DataCentre: dc, Choice: "no new work", Reason: why})
 	}
 }
 
 func (r *Relay) hasInstances(dc fleet.DataCentre) bool {
 	for _, g := range r.groups {
 		for _, i := range g.instances {
-			if i.info.DataCentre == dc && !i.gone {
+			if i.info.DataCentre == dc && !i.removed {
 				return true
 			}
 		}
@@ -70,7 +70,7 @@
 // open reports whether new operations may be sent to the instance, as far as evacuations go: a
 // primary goes on for a while.
 func (i *instance) open(now time.Time) bool {
-	return !i.evacuated() || i.g.leads(i.info.Name) && !i.closed(now)
+	return !i.evacuated() || i.g.isPrimary(i.info.Name) && !i.closed(now)
 }
 
 // evacuateWithin is how long after it has learnt of an evacuation this host may still send.
@@ -101,7 +101,7 @@
 	if c == nil || s.op != nil || !c.inst.closed(now) {
 		return
 	}
-	s.r.note(Event{
+	s.r.logEvent(Event{
 		Kind: EventSession, Database: s.database, Account: s.account, Service: c.Service, Instance: c.Instance,
 		DataCentre: c.inst.info.DataCentre, Choice: "end the transaction", Reason: "its data centre is evacuated",
 	})
--- a/core/relay/event.go
+++ b/core/relay/event.go
@@ -59,7 +59,7 @@
 	AlwaysLog bool
 }
 
-func (r *Relay) note(e Event) {
+func (r *Relay) logEvent(e Event) {
 	if r.cfg.LogEvent != nil {
 		r.cfg.LogEvent(e)
 	}
--- a/core/relay/forward.go
+++ b/core/relay/forward.go
@@ -160,7 +160,7 @@
 	if !i.local() && r.secluded(now) {
 		return false
 	}
-	if !i.doubtful(now) {
+	if !i.suspected(now) {
 		return true
 	}
 	_, over := r.holder(i)
@@ -205,7 +205,7 @@
 	}
 	c.setState(connIdle)
 	i.g.r.forwarding.virtual[c.stream] = c
-	i.lent++
+	i.forwardedCount++
 	return c
 }
 
@@ -224,7 +224,7 @@
 func (r *Relay) tickForwarding(now time.Time) {
 	for _, c := range r.forwarding.virtual {
 		asks := len(c.owed) > 0 && c.owed[0].kind == statement.KindStepDown
-		if asks && now.Sub(c.owed[0].asked) > inquiryPatience+quietFor {
+		if asks && now.Sub(c.owed[0].asked) > peerRequestTimeout+statusRequestTimeout {
 			c.lost("no answer to a question over another host")
 		}
 	}
@@ -256,7 +256,7 @@
 // among its own, by account, and finds the connection.
 func (r *Relay) HandleForward(from PeerLinkID, f Forward, reply func(a statement.Answer)) {
 	if len(f.Statements) == 1 && f.Statements[0].Kind == statement.KindStepDown {
-		r.group(f.Service).inquire(f.Instance, f.Statements[0].Term, reply)
+		r.group(f.Service).requestForPeer(f.Instance, f.Statements[0].Term, reply)
 		return
 	}
 	k := stream{from, f.Stream}
--- a/core/relay/group.go
+++ b/core/relay/group.go
@@ -17,52 +17,52 @@
 	r       *Relay
 	name    fleet.Service
 	service catalog.Service
-	// confined are the regions of the service's databases that may not be served everywhere.
-	confined  []catalog.AllowedRegions
-	instances map[fleet.Instance]*instance
-	belief    leader.PrimaryState
-	proofs    leader.PendingAnswers
-	samples   staleness.Samples
+	// regionLimits are the regions of the service's databases that may not be served everywhere.
+	regionLimits   []catalog.AllowedRegions
+	instances      map[fleet.Instance]*instance
+	primaryState   leader.PrimaryState
+	pendingAnswers leader.PendingAnswers
+	samples        staleness.Samples
 
 	queue   admit.Queue
 	waiting map[uint64]*operation
 	running map[uint64]*operation
-	// unproven are the answers that wait for their proof.
-	unproven map[uint64]*operation
-	// inquiries are other hosts' questions that wait for a connection.
-	inquiries []inquiry
-	// pumping keeps pump from calling itself.
-	pumping bool
-	// changedAt is when the last order became known, aliveAt when the primary last
+	// pendingVerification are the answers that wait for their proof.
+	pendingVerification map[uint64]*operation
+	// peerRequests are other hosts' questions that wait for a connection.
+	peerRequests []peerStatusRequest
+	// dispatching keeps pump from calling itself.
+	dispatching bool
+	// promotionKnownAt is when the last order became known, primaryHeardAt when the primary last
 	// answered.
-	changedAt, aliveAt time.Time
-	// settledAt is when the primary was last settled.
-	settledAt time.Time
-	// unaffected is until when the last order can't have taken effect, as far as was known when
+	promotionKnownAt, primaryHeardAt time.Time
+	// primaryConfirmedAt is when the primary was last settled.
+	primaryConfirmedAt time.Time
+	// promotionNotBefore is until when the last order can't have taken effect, as far as was known when
 	// it became known.
-	unaffected time.Time
-	// doubt is the latest moment up to which an operation needs the primary to have led alone,
+	promotionNotBefore time.Time
+	// solePrimaryWanted is the latest moment up to which an operation needs the primary to have led alone,
 	// that isn't known to have.
-	doubt time.Time
+	solePrimaryWanted time.Time
 	// sampledAt is when the last point of the primary was taken in.
 	sampledAt time.Time
-	// unsure is a point of the primary that waits to be proved, as the store can't prove it.
-	unsure staleness.Sample
-	// verifiedAt is when the primary was last asked whether it is one.
-	verifiedAt time.Time
-	// ableAt is when the primary could last answer.
-	ableAt time.Time
-	// unsettled is since when no primary is settled.
-	unsettled time.Time
-	// surveyed is when the replicas were asked for an order, ordering until when another
+	// unverifiedSample is a point of the primary that waits to be proved, as the store can't prove it.
+	unverifiedSample staleness.Sample
+	// primaryAskedAt is when the primary was last asked whether it is one.
+	primaryAskedAt time.Time
+	// primaryAvailableAt is when the primary could last answer.
+	primaryAvailableAt time.Time
+	// unconfirmedSince is since when no primary is settled.
+	unconfirmedSince time.Time
+	// positionsAskedAt is when the replicas were asked for an order, nextPromotionAt until when another
 	// one has to wait.
-	surveyed, ordering time.Time
-	// given is when the last order of this host was answered with success.
-	given time.Time
-	// listedAt is when the reading of the list of instances that is in use was begun.
-	listedAt time.Time
-	// readAt is when a read was last looked for a replica.
-	readAt time.Time
+	positionsAskedAt, nextPromotionAt time.Time
+	// promotionAcceptedAt is when the last order of this host was answered with success.
+	promotionAcceptedAt time.Time
+	// listReadAt is when the reading of the list of instances that is in use was begun.
+	listReadAt time.Time
+	// replicaReadAt is when a read was last looked for a replica.
+	replicaReadAt time.Time
 }
 
 func newGroup(r *Relay, s fleet.Service) *group {
@@ -70,128 +70,128 @@
 		r: r, name: s, instances: map[fleet.Instance]*instance{},
 		queue:   admit.Queue{Limits: queueLimits},
 		waiting: map[uint64]*operation{}, running: map[uint64]*operation{},
-		unproven: map[uint64]*operation{}, unsettled: r.now(),
+		pendingVerification: map[uint64]*operation{}, unconfirmedSince: r.now(),
 	}
 }
 
-// missingFor is how long an instance may be off the list before it counts as gone: the
+// removeAfter is how long an instance may be off the list before it counts as gone: the
 // store drops those that couldn't reach it for a while, and they are back within 2 s.
-const missingFor = 2500 * time.Millisecond
+const removeAfter = 2500 * time.Millisecond
 
-// listed takes in the instances of the group as the list has them.
-func (g *group) listed(is []catalog.Instance, read time.Time) {
+// setInstances takes in the instances of the group as the list has them.
+func (g *group) setInstances(listed []catalog.Instance, readAt time.Time) {
 	now := g.r.now()
-	g.listedAt = read
-	g.forget(now)
-	for _, in := range is {
+	g.listReadAt = readAt
+	g.forgetRemoved(now)
+	for _, in := range listed {
 		i := g.instances[in.Name]
 		if i == nil || i.info.Address != in.Address || i.info.Started != in.Started {
 			if i != nil {
-				g.drop(i, "it has another address now, or has started anew")
+				g.removeInstance(i, "it has another address now, or has started anew")
 				// What it has said of itself was said before that.
-				g.belief.AddRefusal(in.Name)
+				g.primaryState.AddRefusal(in.Name)
 			}
-			i = &instance{g: g, info: in, lastHeard: now, doubted: now}
+			i = &instance{g: g, info: in, lastHeard: now, suspectedSince: now}
 			g.instances[in.Name] = i
-			g.noteInstance(i, "use", "it is on the list")
+			g.logInstance(i, "use", "it is on the list")
 		}
 		if in.Leaving && !i.info.Leaving {
-			g.noteInstance(i, "no new work", "it is leaving")
+			g.logInstance(i, "no new work", "it is leaving")
 		}
-		i.info, i.missing, i.gone = in, time.Time{}, i.moved
+		i.info, i.unlistedSince, i.removed = in, time.Time{}, i.addressReused
 		i.coldUntil = time.Time{}
 		if in.Cold > 0 {
-			i.coldUntil = read.Add(in.Cold)
+			i.coldUntil = readAt.Add(in.Cold)
 		}
 	}
 	for _, i := range g.instances {
-		if slices.ContainsFunc(is, func(in catalog.Instance) bool { return in.Name == i.info.Name }) {
+		if slices.ContainsFunc(listed, func(in catalog.Instance) bool { return in.Name == i.info.Name }) {
 			continue
 		}
-		if i.missing.IsZero() {
-			i.missing = now
+		if i.unlistedSince.IsZero() {
+			i.unlistedSince = now
 		}
-		if now.Sub(i.missing) >= missingFor {
-			g.drop(i, "it is off the list")
+		if now.Sub(i.unlistedSince) >= removeAfter {
+			g.removeInstance(i, "it is off the list")
 		}
 	}
-	g.belief.SetInstances(is)
+	g.primaryState.SetInstances(listed)
 	g.pump()
 }
 
-func (g *group) noteInstance(i *instance, choice, why string) {
-	g.r.note(Event{
-		Kind: EventInstance, Service: g.name, Instance: i.info.Name, Choice: choice, Reason: why,
+func (g *group) logInstance(i *instance, choice, reason string) {
+	g.r.logEvent(Event{
+		Kind: EventInstance, Service: g.name, Instance: i.info.Name, Choice: choice, Reason: reason,
 	})
 }
 
-// drop gives up an instance; what runs on it may end.
-func (g *group) drop(i *instance, why string) {
-	if i.gone {
+// removeInstance gives up an instance; what runs on it may end.
+func (g *group) removeInstance(i *instance, reason string) {
+	if i.removed {
 		return
 	}
-	i.gone = true
-	g.noteInstance(i, "give up", why)
+	i.removed = true
+	g.logInstance(i, "give up", reason)
 }
 
-// forget drops what has been gone for long.
-func (g *group) forget(now time.Time) {
+// forgetRemoved drops what has been gone for long.
+func (g *group) forgetRemoved(now time.Time) {
 	for n, i := range g.instances {
-		if i.gone && len(i.conns) == 0 && !i.missing.IsZero() && now.Sub(i.missing) > keepGone {
+		if i.removed && len(i.conns) == 0 && !i.unlistedSince.IsZero() && now.Sub(i.unlistedSince) > keepRemoved {
 			delete(g.instances, n)
 		}
 	}
 }
 
-// served reports whether any instance is there. An evacuation is no reason to send callers to
+// hasInstances reports whether any instance is there. An evacuation is no reason to send callers to
 // other hosts, as it holds for all.
-func (g *group) served() bool {
+func (g *group) hasInstances() bool {
 	for _, i := range g.instances {
-		if !i.gone && !i.info.Leaving {
+		if !i.removed && !i.info.Leaving {
 			return true
 		}
 	}
 	return false
 }
 
-// leads reports whether the group's answers of an instance are a primary's.
-func (g *group) leads(n fleet.Instance) bool {
-	if p, _, ok := g.belief.Primary(); ok && p == n {
+// isPrimary reports whether the group's answers of an instance are a primary's.
+func (g *group) isPrimary(n fleet.Instance) bool {
+	if p, _, ok := g.primaryState.Primary(); ok && p == n {
 		return true
 	}
-	f, _, ok := g.belief.FormerPrimary()
+	f, _, ok := g.primaryState.FormerPrimary()
 	return ok && f == n
 }
 
 // primary returns the instance that takes writes now. While an order is on its way the
 // former primary goes on, as long as it does.
 func (g *group) primary() *instance {
-	if p, _, ok := g.belief.Primary(); ok {
+	if p, _, ok := g.primaryState.Primary(); ok {
 		return g.instances[p]
 	}
-	if f, _, ok := g.belief.FormerPrimary(); ok {
+	if f, _, ok := g.primaryState.FormerPrimary(); ok {
 		return g.instances[f]
 	}
 	return nil
 }
 
-// refusedBy takes in what a refusal tells of an instance.
-func (g *group) refusedBy(c *Conn, code statement.Code, o *operation) {
+// handleRefusal takes in what a refusal tells of an instance.
+func (g *group) handleRefusal(c *Conn, code statement.Code, o *operation) {
 	switch code {
 	case statement.CodeUnreachable:
 		if c.via != "" {
-			c.inst.block(c.via)
+			c.inst.blockHost(c.via)
 		}
 	case statement.CodeLagging:
-		c.inst.lacked(g.r.now())
+		c.inst.addLag(g.r.now())
 	case statement.CodeReadOnly:
-		if g.leads(c.Instance) {
-			g.r.note(Event{
+		if g.isPrimary(c.Instance) {
+			g.r.logEvent(Event{
 				Kind: EventLeader, Service: g.name, Instance: c.Instance, ID: o.q.ID,
 				Choice: "not the primary any more", Reason: "it refuses to write", Code: code,
 			})
 		}
-		g.belief.AddRefusal(c.Instance)
+		g.primaryState.AddRefusal(c.Instance)
 		g.r.cfg.RefreshRecords()
 	default:
 	}
--- a/core/relay/holder.go
+++ b/core/relay/holder.go
@@ -76,7 +76,7 @@
 // instance then has two, with fewer connections each, and no harm done.
 func (r *Relay) holder(i *instance) (Peer, bool) {
 	now := r.now()
-	here := !i.doubtful(now)
+	here := !i.suspected(now)
 	if len(r.forwarding.peers) == 0 || here && i.direct(now) && !i.isCold(now) {
 		return Peer{}, false
 	}
@@ -143,15 +143,15 @@
 // mayReach reports whether another host may be able to reach an instance: it hasn't said
 // that it can't. Where each host uses its own connections it has to have said that it can.
 func (r *Relay) mayReach(now time.Time, h fleet.Host, i *instance) bool {
-	if now.Before(i.blocked[h]) {
+	if now.Before(i.blockedHosts[h]) {
 		return false
 	}
-	d := r.duty.doubts[h]
-	told := d.told(now)
-	if told && d.instances.Has(i.info.Name) {
+	d := r.duty.reports[h]
+	told := d.recent(now)
+	if told && d.unreachable.Has(i.info.Name) {
 		return false
 	}
-	return !i.direct(now) || i.isCold(now) || told && d.reached.Has(i.info.Name)
+	return !i.direct(now) || i.isCold(now) || told && d.reachable.Has(i.info.Name)
 }
 
 // standbys is how many hosts beside an instance's holder are wanted with it, so that the loss of
@@ -164,7 +164,7 @@
 	out := fleet.NewSet[fleet.Host]()
 	for _, g := range r.groups {
 		for _, i := range g.instances {
-			if i.gone {
+			if i.removed {
 				continue
 			}
 			if p, over := r.holder(i); over {
--- a/core/relay/homes.go
+++ b/core/relay/homes.go
@@ -35,7 +35,7 @@
 		return p == nil || g.r.allow(o.homes, p.info.DataCentre)
 	}
 	for _, i := range g.instances {
-		if !i.gone && g.r.allow(o.homes, i.info.DataCentre) {
+		if !i.removed && g.r.allow(o.homes, i.info.DataCentre) {
 			return true
 		}
 	}
@@ -44,7 +44,7 @@
 
 // abroad reports whether an instance stands where some database of the service may not be served.
 func (g *group) abroad(i *instance) bool {
-	for _, h := range g.confined {
+	for _, h := range g.regionLimits {
 		if !g.r.allow(homes{route: h}, i.info.DataCentre) {
 			return true
 		}
@@ -55,12 +55,12 @@
 // confine takes in which databases of each service may not be served everywhere.
 func (r *Relay) confine(c *catalog.Catalog) {
 	for _, g := range r.groups {
-		g.confined = nil
+		g.regionLimits = nil
 	}
 	for _, route := range c.Routes {
 		if len(route.AllowedRegions) > 0 {
 			g := r.group(route.Service)
-			g.confined = append(g.confined, route.AllowedRegions)
+			g.regionLimits = append(g.regionLimits, route.AllowedRegions)
 		}
 	}
 }
--- a/core/relay/operation.go
+++ b/core/relay/operation.go
@@ -96,7 +96,7 @@
 	if c := o.s.tx.conn; o.s.tx.open && c != nil {
 		if why := o.barred(c); why != "" {
 			o.s.fail()
-			o.refuse(statement.CodeAborted, "rolled back: "+why, retrySoon)
+			o.refuse(statement.CodeAborted, "rolled back: "+why, shortRetryAfter)
 			return
 		}
 		o.conn = c
@@ -125,7 +125,7 @@
 // wait queues the operation.
 func (o *operation) wait() {
 	now := o.g.r.now()
-	if why, after := o.g.hopeless(now, o); why != "" {
+	if why, after := o.g.refusalReason(now, o); why != "" {
 		code := statement.CodeBusy
 		if i := o.g.instances[o.s.instance]; o.s.instance != "" && (i == nil || i.open(now)) {
 			code = statement.CodeUnreachable
@@ -192,8 +192,8 @@
 	o.g.running[o.key] = o
 	o.conn = c
 	o.tries++
-	if s, ok := o.need(); ok && !c.inst.point.Covers(s.Position) {
-		c.inst.trial = o
+	if s, ok := o.need(); ok && !c.inst.position.Covers(s.Position) {
+		c.inst.trialRead = o
 	}
 	c.setState(connBusy)
 	c.op = o
@@ -276,7 +276,7 @@
 }
 
 // unbound reports whether the instance may run the operation wherever its log ends.
-func (o *operation) unbound() bool { return o.lead || o.g.leads(o.conn.Instance) }
+func (o *operation) unbound() bool { return o.lead || o.g.isPrimary(o.conn.Instance) }
 
 // need is the point that the instance's log has to cover, for a read on a replica, and whether
 // there is one.
@@ -294,7 +294,7 @@
 		q.After = o.after
 	}
 	o.sent, o.sentAt = true, o.g.r.now()
-	if _, ok := o.after.Get(); ok && o.s.instance == "" && o.g.changing(o.sentAt) {
+	if _, ok := o.after.Get(); ok && o.s.instance == "" && o.g.promotionRecent(o.sentAt) {
 		o.note(EventPlace, "read a replica", "its log is to cover the point", statement.CodeNone)
 	}
 	o.ran, o.s.tx.ran = true, true
@@ -306,14 +306,14 @@
 	if o.conn.via == "" {
 		o.conn.inst.spend(o.sentAt, ahead)
 	}
-	o.conn.send(ahead, nil, o.answered)
+	o.conn.send(ahead, nil, o.handleAnswer)
 }
 
 // unready handles a connection that could not be made ready: nothing was run. One on
 // which a transaction had begun is left to it.
 func (o *operation) unready(code statement.Code, state statement.TxState) {
 	c := o.conn
-	o.g.refusedBy(c, code, o)
+	o.g.handleRefusal(c, code, o)
 	c.op = nil
 	if !o.begun() {
 		c.session = nil
@@ -322,11 +322,11 @@
 	}
 	if o.s.instance != "" && !o.begun() && code.NotRun() {
 		// Only the host that asks can choose another instance.
-		o.leave(o.g.r.now(), 0)
-		o.refuse(code, "the instance has turned it away", retrySoon)
+		o.releaseSlot(o.g.r.now(), 0)
+		o.refuse(code, "the instance has turned it away", shortRetryAfter)
 		return
 	}
-	o.again(code)
+	o.retry(code)
 }
 
 // begun reports whether an instance has run any of the operation's transaction before it.
@@ -348,7 +348,7 @@
 		Choice: choice, Reason: why, Code: code, Took: o.g.r.now().Sub(o.asked), Consistency: o.route.Consistency,
 	}
 	if o.conn != nil {
-		e.Instance, e.InstancePoint = o.conn.Instance, o.conn.inst.point
+		e.Instance, e.InstancePoint = o.conn.Instance, o.conn.inst.position
 	}
 	if p, ok := o.after.Get(); ok {
 		e.RequiredPoint = p
@@ -360,5 +360,5 @@
 		e.Host = o.conn.via
 	}
 	e.AlwaysLog = code != statement.CodeNone || e.Took > o.route.Target
-	o.g.r.note(e)
+	o.g.r.logEvent(e)
 }
--- a/core/relay/outcome.go
+++ b/core/relay/outcome.go
@@ -6,102 +6,102 @@
 	"skylarkdeal/core/statement"
 )
 
-// answered takes the instance's answer.
-func (o *operation) answered(a statement.Answer) {
+// handleAnswer takes the instance's answer.
+func (o *operation) handleAnswer(a statement.Answer) {
 	c := o.conn
 	if c.op != o {
 		return
 	}
 	now := o.g.r.now()
 	took := now.Sub(o.sentAt)
-	o.leave(now, took)
+	o.releaseSlot(now, took)
 	c.op = nil
 	if a.Code == statement.CodeNone {
-		c.inst.worked(now, took)
-		c.inst.lags = 0
-		o.succeeded(a)
+		c.inst.addLatency(now, took)
+		c.inst.lagCount = 0
+		o.handleSuccess(a)
 		return
 	}
-	o.g.refusedBy(c, a.Code, o)
+	o.g.handleRefusal(c, a.Code, o)
 	// What was to be prepared ahead of it was turned away.
 	c.spoilt = c.spoilt || a.Code == statement.CodeNotPrepared
 	if o.opens && c.via != "" && a.Code.NotRun() {
 		// The other host has not begun the transaction, or has rolled it back.
 		o.s.tx.conn, c.session = nil, nil
 		c.retire()
-		o.again(a.Code)
+		o.retry(a.Code)
 		return
 	}
 	if o.s.tx.open {
-		o.failedInTx(a)
+		o.failTransaction(a)
 		return
 	}
-	c.settle(a)
+	c.releaseOutsideTx(a)
 	if o.s.instance != "" {
 		o.finish(a)
 		return
 	}
 	if a.Code.NotRun() || !o.writes && (a.Code == statement.CodeFailed || a.Code == statement.CodeTimeout) {
-		o.again(a.Code)
+		o.retry(a.Code)
 		return
 	}
 	o.finish(a)
 }
 
-// settle frees a connection after a statement outside a transaction, or closes one that
+// releaseOutsideTx frees a connection after a statement outside a transaction, or closes one that
 // is in a state which it should not be in.
-func (c *Conn) settle(a statement.Answer) {
+func (c *Conn) releaseOutsideTx(a statement.Answer) {
 	c.retireUnless(a.State == statement.TxNone)
 }
 
-func (o *operation) succeeded(a statement.Answer) {
+func (o *operation) handleSuccess(a statement.Answer) {
 	c := o.conn
 	commit := o.q.Kind == statement.KindCommit
 	switch {
 	case !o.s.tx.open:
-		c.settle(a)
+		c.releaseOutsideTx(a)
 	case commit:
 		o.s.tx.conn = nil
 		c.session = nil
-		c.settle(a)
+		c.releaseOutsideTx(a)
 	}
-	o.g.judge(o, c, a)
+	o.g.verifyAnswer(o, c, a)
 }
 
-// failedInTx answers a failure in a transaction, which is rolled back.
-func (o *operation) failedInTx(a statement.Answer) {
+// failTransaction answers a failure in a transaction, which is rolled back.
+func (o *operation) failTransaction(a statement.Answer) {
 	o.s.fail()
 	o.finish(a)
 }
 
-// again sends the operation off once more, as nothing of it was run, or tells the
+// retry sends the operation off once more, as nothing of it was run, or tells the
 // caller so.
 //
 // The guard is for an operation of a transaction that had begun, whose value was refused or
 // whose connection broke before it was sent: elsewhere it would run by itself, and be kept
 // while the rest of its transaction is not.
-func (o *operation) again(code statement.Code) {
+func (o *operation) retry(code statement.Code) {
 	now := o.g.r.now()
-	o.leave(now, 0)
+	o.releaseSlot(now, 0)
 	if o.over {
 		return
 	}
 	if o.begun() {
-		o.failedInTx(statement.Answer{
-			Code: statement.CodeAborted, Detail: "rolled back: its connection could not be made ready", RetryAfter: retrySoon,
+		o.failTransaction(statement.Answer{
+			Code: statement.CodeAborted, Detail: "rolled back: its connection could not be made ready", RetryAfter: shortRetryAfter,
 		})
 		return
 	}
 	if o.s.instance != "" && code == statement.CodeFailed {
-		o.give(statement.Answer{Code: code, Detail: "the connection to the instance was lost"})
+		o.answerCaller(statement.Answer{Code: code, Detail: "the connection to the instance was lost"})
 		return
 	}
-	stays := code == statement.CodeReadOnly || code == statement.CodeNotPrepared || code == statement.CodeUnreachable
-	if o.conn != nil && o.s.instance == "" && !stays {
+	retryHere := code == statement.CodeReadOnly || code == statement.CodeNotPrepared || code == statement.CodeUnreachable
+	if o.conn != nil && o.s.instance == "" && !retryHere {
 		o.avoid.Add(o.conn.Instance)
 	}
 	if o.tries >= maxTries || !now.Before(o.deadline) {
-		o.refuse(code, "no instance could run it", retrySoon)
+		o.refuse(code, "no instance could run it", shortRetryAfter)
 		return
 	}
 	o.g.r.counts.Retried++
@@ -109,42 +109,42 @@
 	o.wait()
 }
 
-// retrySoon is when to come back after a trouble that passes by itself, such as a change
+// shortRetryAfter is when to come back after a trouble that passes by itself, such as a change
 // of primary that is about to end.
-const retrySoon = 100 * time.Millisecond
+const shortRetryAfter = 100 * time.Millisecond
 
-// cut handles the loss of the connection that ran the operation.
+// connLost handles the loss of the connection that ran the operation.
 //
 // What was not sent was not run. A transaction that was not told to commit is rolled
 // back with its connection. Only a write or a commit of writes that was sent may have
 // been run or not: it is never sent again, and its caller is told so at once.
-func (o *operation) cut(why string) {
+func (o *operation) connLost(reason string) {
 	if o.over {
 		return
 	}
-	o.leave(o.g.r.now(), 0)
+	o.releaseSlot(o.g.r.now(), 0)
 	commit := o.q.Kind == statement.KindCommit
 	switch {
 	case !o.sent:
-		o.again(statement.CodeBusy)
+		o.retry(statement.CodeBusy)
 	case o.s.tx.open && (!commit || !o.s.tx.writes):
 		o.s.tx.failed = true
-		o.give(statement.Answer{Code: statement.CodeAborted, Detail: "rolled back: " + why, RetryAfter: retrySoon})
+		o.answerCaller(statement.Answer{Code: statement.CodeAborted, Detail: "rolled back: " + reason, RetryAfter: shortRetryAfter})
 	case commit || o.writes:
-		o.inDoubt(why)
+		o.answerInDoubt(reason)
 	default:
-		o.again(statement.CodeFailed)
+		o.retry(statement.CodeFailed)
 	}
 }
 
-// inDoubt tells the caller that its write may have been run or not.
-func (o *operation) inDoubt(why string) {
+// answerInDoubt tells the caller that its write may have been run or not.
+func (o *operation) answerInDoubt(reason string) {
 	o.g.r.counts.InDoubt++
-	o.give(statement.Answer{Code: statement.CodeInDoubt, Detail: "sent, but not known to be kept: " + why})
+	o.answerCaller(statement.Answer{Code: statement.CodeInDoubt, Detail: "sent, but not known to be kept: " + reason})
 }
 
-// late gives up a statement that has reached its deadline at the instance.
-func (o *operation) late() {
+// timeOut gives up a statement that has reached its deadline at the instance.
+func (o *operation) timeOut() {
 	c := o.conn
 	c.op = nil
 	o.note(EventAnswer, "give up", "the statement has reached its time limit", statement.CodeTimeout)
@@ -153,15 +153,15 @@
 		o.s.tx.conn = nil
 	}
 	if o.sent && !o.writes && !o.s.tx.open {
-		o.leave(o.g.r.now(), 0)
-		o.give(statement.Answer{Code: statement.CodeTimeout, Detail: "the statement has reached its time limit"})
+		o.releaseSlot(o.g.r.now(), 0)
+		o.answerCaller(statement.Answer{Code: statement.CodeTimeout, Detail: "the statement has reached its time limit"})
 		return
 	}
-	o.cut("the statement has reached its time limit")
+	o.connLost("the statement has reached its time limit")
 }
 
 // refuse answers that nothing was run.
-func (o *operation) refuse(code statement.Code, why string, after time.Duration) {
+func (o *operation) refuse(code statement.Code, reason string, retryAfter time.Duration) {
 	if !o.ran && (!o.s.tx.open || !o.s.tx.ran) && o.g.r.cfg.Refund != nil && o.s.instance == "" {
 		o.g.r.cfg.Refund(o.s.account)
 	}
@@ -175,8 +175,8 @@
 	}
 	o.g.r.counts.Refused++
 	o.s.turned = true
-	o.note(EventRefuse, "refuse", why, code)
-	o.give(statement.Answer{Code: code, Detail: why, RetryAfter: after})
+	o.note(EventRefuse, "refuse", reason, code)
+	o.answerCaller(statement.Answer{Code: code, Detail: reason, RetryAfter: retryAfter})
 }
 
 // finish gives the instance's answer.
@@ -184,22 +184,22 @@
 	if a.Code == statement.CodeNone {
 		o.g.r.counts.Answered++
 	}
-	o.give(a)
+	o.answerCaller(a)
 }
 
-// leave gives back the operation's place at an instance, which it held for took; zero
+// releaseSlot gives back the operation's place at an instance, which it held for took; zero
 // tells that nothing is to be learnt from it.
-func (o *operation) leave(now time.Time, took time.Duration) {
+func (o *operation) releaseSlot(now time.Time, latency time.Duration) {
 	delete(o.g.running, o.key)
-	if c := o.conn; c != nil && c.inst.trial == o {
-		c.inst.trial = nil
+	if c := o.conn; c != nil && c.inst.trialRead == o {
+		c.inst.trialRead = nil
 	}
-	o.g.queue.Finished(now, o.key, took)
+	o.g.queue.Finished(now, o.key, latency)
 }
 
-// give ends the operation with an answer to its caller. A commit ends its transaction,
+// answerCaller ends the operation with an answer to its caller. A commit ends its transaction,
 // however it went.
-func (o *operation) give(a statement.Answer) {
+func (o *operation) answerCaller(a statement.Answer) {
 	if o.over {
 		return
 	}
@@ -236,7 +236,7 @@
 		delete(o.g.waiting, o.key)
 		return
 	}
-	o.leave(o.g.r.now(), 0)
+	o.releaseSlot(o.g.r.now(), 0)
 	if c := o.conn; c != nil && c.op == o {
 		c.op, c.session = nil, nil
 		if o.s.tx.conn == c {
--- a/core/relay/place.go
+++ b/core/relay/place.go
@@ -24,15 +24,15 @@
 
 // pump starts what can be started.
 func (g *group) pump() {
-	if g.pumping {
+	if g.dispatching {
 		return
 	}
-	g.pumping = true
-	defer func() { g.pumping = false }()
+	g.dispatching = true
+	defer func() { g.dispatching = false }()
 	now := g.r.now()
-	defer g.vouch(now)
-	if len(g.inquiries) > 0 {
-		g.answerInquiries(now)
+	defer g.requestOtherTerms(now)
+	if len(g.peerRequests) > 0 {
+		g.sendPeerRequests(now)
 	}
 	for len(g.waiting) > 0 {
 		found := map[uint64]*Conn{}
@@ -123,33 +123,33 @@
 		return false
 	}
 	if o.s.instance != "" {
-		return i.info.Name == o.s.instance && !i.gone
+		return i.info.Name == o.s.instance && !i.removed
 	}
-	if o.avoid.Has(i.info.Name) || i.gone {
+	if o.avoid.Has(i.info.Name) || i.removed {
 		return false
 	}
-	leads := g.leads(i.info.Name)
+	leads := g.isPrimary(i.info.Name)
 	if leads && g.primary() == i {
-		return g.mayLead(o)
+		return g.primaryMayRun(o)
 	}
-	if o.lead || leads || !i.usable() || i.info.Name == g.belief.DesignatedPrimary() {
+	if o.lead || leads || !i.usable() || i.info.Name == g.primaryState.DesignatedPrimary() {
 		return false
 	}
-	g.readAt = now
+	g.replicaReadAt = now
 	s, ok := g.needs(o)
-	return ok && i.joined(s) && (i.point.Covers(s.Position) || i.mayTry(now, o))
+	return ok && i.sharesHistory(s) && (i.position.Covers(s.Position) || i.mayTrialRead(now, o))
 }
 
 // way returns how an operation can reach an instance now, false while the link to its holder
 // is being made.
 func (g *group) way(now time.Time, i *instance, o *operation) (way, bool) {
 	w := way{inst: i}
-	leads := g.leads(i.info.Name)
+	leads := g.isPrimary(i.info.Name)
 	about := pathcost.Path{
-		Latency: i.work, Running: i.busy(), Slots: i.info.Slots, Remote: !i.local(), PrimaryRead: !o.lead && leads,
+		Latency: i.avgLatency, Running: i.busyConns(), Slots: i.info.Slots, Remote: !i.local(), PrimaryRead: !o.lead && leads,
 		Silent: !g.r.reaches(now, i), Cold: !o.lead && i.isCold(now),
 	}
-	if now.Sub(i.workAt) > freshWork {
+	if now.Sub(i.avgLatencyAt) > freshWork {
 		about.Latency = 0
 	}
 	p, over := g.r.holder(i)
--- a/core/relay/query.go
+++ b/core/relay/query.go
@@ -118,7 +118,7 @@
 	if ok {
 		return true
 	}
-	s.r.note(Event{
+	s.r.logEvent(Event{
 		Kind: EventRefuse, ID: id, Database: s.database, Service: s.route.Service, Account: s.account,
 		Choice: "refuse", Reason: "the account is over its rate", Code: statement.CodeBusy, Age: wait,
 	})
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -64,7 +64,7 @@
 	key        uint64
 	counts     Counters
 	drain      drain
-	duty       duty
+	duty       coordination
 	forwarding forwarding
 	// ticked is when the last tick was, awake until when time limits rest after a pause
 	// of the process itself.
@@ -132,16 +132,16 @@
 // AddRecord takes in the record of an order.
 func (r *Relay) AddRecord(rec leader.Record) {
 	g := r.group(rec.Service)
-	if !g.belief.AddRecord(rec) {
+	if !g.primaryState.AddRecord(rec) {
 		return
 	}
-	r.note(Event{
+	r.logEvent(Event{
 		Kind: EventLeader, Service: g.name, Instance: rec.Primary,
 		Choice: "follow the order", Reason: "host " + string(rec.By) + " has ordered a change of primary",
 		Term: rec.Term,
 	})
-	g.changedAt = r.now()
-	g.unaffected = r.lease.Until()
+	g.promotionKnownAt = r.now()
+	g.promotionNotBefore = r.lease.Until()
 	g.pump()
 }
 
@@ -156,7 +156,7 @@
 		r.group(s)
 	}
 	for s, g := range r.groups {
-		g.listed(by[s], read)
+		g.setInstances(by[s], read)
 	}
 }
 
@@ -184,7 +184,7 @@
 		return false
 	}
 	for _, s := range r.catalog.Services {
-		if !r.group(s.Name).served() {
+		if !r.group(s.Name).hasInstances() {
 			return false
 		}
 	}
@@ -209,7 +209,7 @@
 	}
 	unable := 0
 	for _, g := range r.groups {
-		if now.Sub(g.ableAt) > cutOffAfter || secluded && g.able(now) != "" {
+		if now.Sub(g.primaryAvailableAt) > cutOffAfter || secluded && g.unavailableReason(now) != "" {
 			unable++
 		}
 	}
@@ -252,7 +252,7 @@
 	}
 	if r.cut.IsZero() {
 		r.cut = now
-		r.note(Event{
+		r.logEvent(Event{
 			Kind: EventSession, Choice: "not ready",
 			Reason: "neither the store nor the primaries can be reached, and other hosts may reach them",
 		})
@@ -280,10 +280,10 @@
 // HasWaiting reports whether anything waits that a tick may decide on.
 func (r *Relay) HasWaiting() bool {
 	for _, g := range r.groups {
-		if len(g.waiting)+len(g.inquiries)+g.proofs.Len() > 0 || !g.unsure.AskedAt.IsZero() {
+		if len(g.waiting)+len(g.peerRequests)+g.pendingAnswers.Len() > 0 || !g.unverifiedSample.AskedAt.IsZero() {
 			return true
 		}
-		if g.tended() && g.able(r.now()) != "" {
+		if g.tended() && g.unavailableReason(r.now()) != "" {
 			return true
 		}
 	}
@@ -296,7 +296,7 @@
 // The load it is made for: hundreds of hosts, nearly all of which use a group over its holders.
 // While one of many groups has no primary, quick ticks of theirs bring nothing.
 func (g *group) tended() bool {
-	if g.r.duty.holds {
+	if g.r.duty.active {
 		return true
 	}
 	for _, i := range g.instances {
--- a/core/relay/session.go
+++ b/core/relay/session.go
@@ -171,7 +171,7 @@
 	if s.gone {
 		return
 	}
-	s.r.note(Event{
+	s.r.logEvent(Event{
 		Kind: EventSession, Database: s.database, Account: s.account,
 		Choice: "reject", Reason: why, Code: c,
 	})
@@ -238,7 +238,7 @@
 	}
 	for s := range r.sessions {
 		if s.tx.conn != nil && s.op == nil && now.Sub(s.tx.rest) > r.catalog.TxIdle {
-			r.note(Event{
+			r.logEvent(Event{
 				Kind: EventSession, Database: s.database, Account: s.account, Service: s.route.Service,
 				Choice: "end the transaction", Reason: "it has rested for too long", Age: now.Sub(s.tx.rest),
 			})
--- a/core/relay/state.go
+++ b/core/relay/state.go
@@ -18,7 +18,7 @@
 	RecordsCurrent bool `json:"certain"`
 	Coordinator    bool `json:"duty"`
 	CutOff         bool `json:"cut-off"`
-	Drains         bool `json:"drains"`
+	Draining       bool `json:"drains"`
 	Hosts          int  `json:"hosts"`
 	// Evacuated are the data centres whose instances are left alone.
 	Evacuated []fleet.DataCentre `json:"evacuated,omitempty"`
@@ -51,16 +51,16 @@
 	Suspected   bool              `json:"doubtful"`
 	Holder      fleet.Host        `json:"holder,omitempty"`
 	Connections int               `json:"connections"`
-	Work        time.Duration     `json:"work"`
-	Silent      time.Duration     `json:"silent"`
+	AvgLatency  time.Duration     `json:"work"`
+	SilentFor   time.Duration     `json:"silent"`
 }
 
 // State returns what the relay knows and does now.
 func (r *Relay) State() State {
 	now := r.now()
 	s := State{
-		Sessions: len(r.sessions), RecordsCurrent: r.lease.RecordsCurrent(now), Coordinator: r.duty.holds, CutOff: r.CutOff(),
-		Drains: r.drain.on, Hosts: r.hosts, Counts: r.counts,
+		Sessions: len(r.sessions), RecordsCurrent: r.lease.RecordsCurrent(now), Coordinator: r.duty.active, CutOff: r.CutOff(),
+		Draining: r.drain.on, Hosts: r.hosts, Counts: r.counts,
 	}
 	if r.catalog != nil {
 		s.Catalog = r.catalog.Version
@@ -79,18 +79,18 @@
 
 func (g *group) state(now time.Time) GroupState {
 	s := GroupState{
-		Service: g.name, UnavailableReason: g.able(now), Waiting: len(g.waiting), Running: len(g.running),
-		PendingVerification: g.proofs.Len(),
+		Service: g.name, UnavailableReason: g.unavailableReason(now), Waiting: len(g.waiting), Running: len(g.running),
+		PendingVerification: g.pendingAnswers.Len(),
 	}
-	s.Primary, s.Term, s.PrimaryKnown = g.belief.Primary()
+	s.Primary, s.Term, s.PrimaryKnown = g.primaryState.Primary()
 	if n, ok := g.samples.Newest(); ok {
 		s.SampleAge = now.Sub(n.AskedAt)
 	}
 	for _, i := range g.instances {
 		p, _ := g.r.holder(i)
 		s.Instances = append(s.Instances, InstanceState{
-			Instance: i.info.Name, Position: i.point, Leaving: i.info.Leaving, Removed: i.gone, Suspected: i.doubtful(now),
-			Holder: p.Host, Connections: len(i.conns), Work: i.work, Silent: now.Sub(i.lastHeard),
+			Instance: i.info.Name, Position: i.position, Leaving: i.info.Leaving, Removed: i.removed, Suspected: i.suspected(now),
+			Holder: p.Host, Connections: len(i.conns), AvgLatency: i.avgLatency, SilentFor: now.Sub(i.lastHeard),
 		})
 	}
 	slices.SortFunc(s.Instances, func(a, b InstanceState) int { return cmp.Compare(a.Instance, b.Instance) })
--- a/core/relay/warm.go
+++ b/core/relay/warm.go
@@ -18,8 +18,8 @@
 	if i.g.service.ColdRate <= 0 {
 		return false
 	}
-	known := later(i.g.listedAt, i.g.r.confirmed)
-	return now.Before(i.coldUntil) || !i.back.IsZero() && known.Before(i.back.Add(announceTime))
+	known := later(i.g.listReadAt, i.g.r.confirmed)
+	return now.Before(i.coldUntil) || !i.reconnectedAt.IsZero() && known.Before(i.reconnectedAt.Add(announceTime))
 }
 
 // bears reports whether a new operation may be sent to the instance by this host's own connections.
@@ -27,7 +27,7 @@
 	if !i.isCold(now) {
 		return true
 	}
-	_, begin := i.budget.Left(now, i.most())
+	_, begin := i.coldBudget.Left(now, i.most())
 	return begin > 0 && i.g.r.maySendCold(i.info.DataCentre)
 }
 
@@ -36,7 +36,7 @@
 	if !i.isCold(now) {
 		return true
 	}
-	all, _ := i.budget.Left(now, i.most())
+	all, _ := i.coldBudget.Left(now, i.most())
 	return all > 0
 }
 
@@ -54,7 +54,7 @@
 			n++
 		}
 	}
-	i.budget.Spend(now, n)
+	i.coldBudget.Spend(now, n)
 }
 
 // maySendCold reports whether this host hears enough others to be the one that sends to the cold
