--- a/core/relay/duty.go
+++ b/core/relay/duty.go
@@ -8,66 +8,67 @@
 	"skylarkdeal/core/statement"
 )
 
-// coordination is this host's part in changes of primary.
+// coordination is the state of this host's part in failovers.
 type coordination struct {
-	// active is set while this host is the one that gives orders.
+	// active is set while this host is the failover coordinator.
 	active bool
-	// reports are what the other hosts can't reach, with when they said so.
+	// reports holds the last reachability report of each other host.
 	reports map[fleet.Host]reachabilityReport
 }
 
-// reachabilityReport is what another host has told last. since is when it began to be heard: what it
-// told after a silence is old.
+// reachabilityReport is the last report of another host.
 type reachabilityReport struct {
+	// receivedAt is when the report was received, continuousSince when the first one was received
+	// after the last gap. Reports that follow a gap may be outdated.
 	receivedAt, continuousSince time.Time
-	// unreachable are those that it can't reach, reachable those that it can although another
-	// host can't.
+	// unreachable are the instances that the host can't reach, reachable those that it can although
+	// another host can't.
 	unreachable, reachable fleet.Set[fleet.Instance]
 }
 
-// recent reports whether the host has recent its doubts lately.
+// recent reports whether the report was received less than reportValidity ago.
 func (d reachabilityReport) recent(now time.Time) bool { return now.Sub(d.receivedAt) < reportValidity }
 
-// trusted reports whether the host's word is to be heard on who can be reached. One that
-// was cut off finds its way back to the instances only after it is heard again, and its
-// doubts would replace a primary that all others reach.
+// trusted reports whether the report counts in a decision on a promotion. A host that was cut off
+// reconnects to the instances only after its reports arrive again, and its suspicions would replace
+// a primary that all other hosts reach.
 func (d reachabilityReport) trusted(now time.Time) bool {
 	return d.recent(now) && now.Sub(d.continuousSince) >= reportValidity
 }
 
 const (
-	// suspectAfter is how long an instance has to be silent, with a failed try to reach it,
-	// before this host counts as unable to reach it.
+	// suspectAfter is how long an instance has to be silent, with a failed attempt to reach it,
+	// before this host suspects it.
 	suspectAfter = 300 * time.Millisecond
-	// reachableFor is how old the last word of an instance may be for this host to say that it
-	// reaches it.
+	// reachableFor is how old the last response of an instance may be for this host to report that
+	// it reaches the instance.
 	reachableFor = 400 * time.Millisecond
-	// reportValidity is how long what a host has told of its doubts counts.
+	// reportValidity is how long a reachability report counts.
 	reportValidity = time.Second
-	// positionRequestWait is how long the replicas get to tell their positions before an order: some
-	// round trips across data centres.
+	// positionRequestWait is how long the replicas get to report their log positions before a promotion
+	// is requested: some round trips across data centres.
 	positionRequestWait = 30 * time.Millisecond
-	// positionRequestRetry is when the question is put again, if none has answered.
+	// positionRequestRetry is after how long the request is repeated if no replica has answered.
 	positionRequestRetry = 400 * time.Millisecond
 )
 
-// IsCoordinator reports whether this host is the one that gives orders.
+// IsCoordinator reports whether this host is the failover coordinator, which requests promotions.
 func (r *Relay) IsCoordinator() bool { return r.duty.active }
 
-// SetCoordinator tells whether this host is the one that gives orders.
+// SetCoordinator sets whether this host is the failover coordinator.
 func (r *Relay) SetCoordinator(active bool) {
 	if active == r.duty.active {
 		return
 	}
 	r.duty.active = active
-	choice := "give up the duty"
+	choice := "stop coordinating failovers"
 	if active {
-		choice = "take the duty"
+		choice = "coordinate failovers"
 	}
-	r.logEvent(Event{Kind: EventLeader, Choice: choice, Reason: "the store's key for changes of primary"})
+	r.logEvent(Event{Kind: EventLeader, Choice: choice, Reason: "holder of the coordinator key in the store"})
 }
 
-// Unreachable returns the instances that this host can't reach now, with for how long.
+// Unreachable returns the instances that this host suspects, each with the time since its last response.
 func (r *Relay) Unreachable() map[fleet.Instance]time.Duration {
 	now := r.now()
 	out := map[fleet.Instance]time.Duration{}
@@ -81,8 +82,8 @@
 	return out
 }
 
-// Reachable returns the instances that another host doubts and this one has heard lately, by
-// connections of its own.
+// Reachable returns the instances that another host reports as unreachable and that have responded
+// to this host within reachableFor, on its own connections.
 func (r *Relay) Reachable() []fleet.Instance {
 	now := r.now()
 	var out []fleet.Instance
@@ -105,8 +106,9 @@
 	return false
 }
 
-// AddReachability takes in what another host can't reach, and what it can although others can't.
-// Who hears of a doubt and is a witness looks for itself.
+// AddReachability handles a report of another host: the instances that it can't reach, and those that
+// it can although others can't. If this host is one of those that check a suspicion, it probes the
+// unreachable ones itself.
 func (r *Relay) AddReachability(from fleet.Host, unreachable, reachable []fleet.Instance) {
 	now := r.now()
 	if r.duty.reports == nil {
@@ -131,7 +133,7 @@
 	}
 }
 
-// setOf returns a set, nil for none: hundreds of reports a second have nothing to doubt.
+// setOf returns a set, nil if it is empty: most of the hundreds of reports a second list no instance.
 func setOf(instances []fleet.Instance) fleet.Set[fleet.Instance] {
 	if len(instances) == 0 {
 		return nil
@@ -139,11 +141,13 @@
 	return fleet.NewSet(instances...)
 }
 
+// suspected reports whether connections to the instance have failed and it has been silent for more
+// than suspectAfter.
 func (i *instance) suspected(now time.Time) bool {
 	return i.failures > 0 && now.Sub(i.lastHeard) > suspectAfter && now.Sub(i.failingSince) > suspectAfter/4
 }
 
-// RecordRevision returns the revision of the newest record of an order that the host knows of.
+// RecordRevision returns the revision of the newest promotion record that the host knows, 0 if none.
 func (r *Relay) RecordRevision() uint64 {
 	var last uint64
 	for _, g := range r.groups {
@@ -152,10 +156,10 @@
 	return last
 }
 
-// decidePromotion gives an order for the group if it needs one and this host has the duty.
+// decidePromotion requests a promotion if the group needs one and this host is the coordinator.
 //
-// The replicas are asked for their positions first: what the chosen one lacks is lost,
-// and what was heard of them last may be old.
+// The replicas are asked for their log positions first: commits that the promoted replica lacks are
+// lost, and the last known positions may be outdated.
 func (g *group) decidePromotion(now time.Time) {
 	if !g.r.duty.active || !g.r.lease.RecordsCurrent(now) || now.Before(g.nextPromotionAt) {
 		g.positionsAskedAt = time.Time{}
@@ -190,21 +194,23 @@
 	g.requestPromotion(now, o)
 }
 
+// requestPromotion passes a promotion request on and defers the next one.
 func (g *group) requestPromotion(now time.Time, o leader.PromotionRequest) {
 	g.promotionAcceptedAt = time.Time{}
 	g.nextPromotionAt = now.Add(promotionRequestPause)
 	o.Service = g.name
 	g.r.logEvent(Event{
 		Kind: EventLeader, Service: g.name, Instance: o.Primary, Term: o.Term,
-		Choice: "order a change of primary", Reason: string(o.Reason), RequiredPoint: g.instances[o.Primary].received,
+		Choice: "request a promotion", Reason: string(o.Reason), RequiredPoint: g.instances[o.Primary].received,
 	})
 	g.r.cfg.RequestPromotion(o)
 }
 
-// promotionRequestPause keeps a host from giving a second order before the first one's record, or
-// its failure, has come back.
+// promotionRequestPause keeps a host from requesting a second promotion before the record of the
+// first one, or its failure, is known.
 const promotionRequestPause = time.Second
 
+// groupStatus returns the input of a decision on a promotion. It also updates suspectedSince of each instance.
 func (g *group) groupStatus(now time.Time) leader.GroupStatus {
 	s := leader.GroupStatus{Now: now, Since: g.unconfirmedSince}
 	if g.primaryState.Record().Revision != 0 && g.promotionKnownAt.After(s.Since) {
@@ -239,15 +245,15 @@
 	return s
 }
 
-// PromotionFinished takes in how an order has gone: given with success, or refused because the
-// instance isn't running.
+// PromotionFinished handles the outcome of a promotion request: accepted, or refused because the
+// instance isn't running. Neither is set if the outcome is another failure.
 func (r *Relay) PromotionFinished(o leader.PromotionRequest, accepted, refused bool) {
 	g := r.group(o.Service)
 	if accepted {
 		g.promotionAcceptedAt = r.now()
 	}
 	if i := g.instances[o.Primary]; refused && i != nil {
-		i.addFailure(r.now(), "the platform says that it isn't running")
+		i.addFailure(r.now(), "the platform reports that it isn't running")
 	}
 	if refused {
 		g.nextPromotionAt = time.Time{}
@@ -256,8 +262,8 @@
 	}
 }
 
-// RequestStepDown has the former primary of an order stop, shortly before the new one leads:
-// what it would still accept would be lost, as the new one has no time to receive it.
+// RequestStepDown has the former primary step down shortly before the promotion takes effect. Writes
+// that it still accepted would be lost, as the new primary has no time to receive them.
 func (r *Relay) RequestStepDown(o leader.PromotionRequest) {
 	g := r.group(o.Service)
 	i := g.instances[o.Former]
--- a/core/relay/event.go
+++ b/core/relay/event.go
@@ -8,28 +8,28 @@
 	"skylarkdeal/core/statement"
 )
 
-// EventKind is the matter that an event belongs to.
+// EventKind is the subject of an event.
 type EventKind string
 
 // The kinds of events.
 const (
-	// EventSession is about who is let in and who is sent away.
+	// EventSession is a session that is accepted, rejected or ended.
 	EventSession EventKind = "session"
 	// EventRefuse is an operation that was not run.
 	EventRefuse EventKind = "refuse"
-	// EventPlace is where a statement runs.
+	// EventPlace is the choice of the instance that runs a statement.
 	EventPlace EventKind = "place"
-	// EventRetry is a statement that is run again elsewhere.
+	// EventRetry is a statement that is retried.
 	EventRetry EventKind = "retry"
-	// EventAnswer is how a statement has ended.
+	// EventAnswer is the outcome of a statement.
 	EventAnswer EventKind = "answer"
-	// EventInstance is what the host believes of an instance.
+	// EventInstance is a change in what the host knows of an instance.
 	EventInstance EventKind = "instance"
-	// EventLeader is what the host believes of a primary.
+	// EventLeader is a change in what the host knows of a primary, or a step of a failover.
 	EventLeader EventKind = "leader"
 )
 
-// Event is one decision with what decided it. Fields that don't apply are zero.
+// Event is one decision and its inputs, for the log. Fields that don't apply are zero.
 type Event struct {
 	Kind     EventKind
 	ID       statement.ID
@@ -37,9 +37,9 @@
 	Service  fleet.Service
 	Account  fleet.Account
 	Instance fleet.Instance
-	// Host is the other host over which it ran.
+	// Host is the other host that forwarded the statement to the instance, empty for this one.
 	Host fleet.Host
-	// DataCentre is the one that a decision is about.
+	// DataCentre is set if the decision applies to a whole data centre.
 	DataCentre fleet.DataCentre
 	Choice     string
 	Reason     string
@@ -47,18 +47,20 @@
 	Term       fleet.Term
 	// Consistency is that of the route.
 	Consistency catalog.Consistency
-	// RequiredPoint is the point that a read had to cover, InstancePoint where the instance's log stood, Received
-	// the end of what the instance had received, as it said itself.
+	// RequiredPoint is the log position that a read had to cover; for a promotion request, the last received
+	// position of the instance to be promoted. InstancePoint is the last known position of the instance's log,
+	// Received the end of what the instance had received, by its own status.
 	RequiredPoint, InstancePoint, Received fleet.LogPosition
-	// Age is that of what decided.
+	// Age is how old the input of the decision was.
 	Age time.Duration
 	// Took is the time from the caller's statement to this event.
 	Took time.Duration
-	// AlwaysLog marks an event that explains a failed or late statement: it is never left
-	// out of the log.
+	// AlwaysLog is set for an event that explains a failed or late statement. A log that leaves out
+	// events must keep it.
 	AlwaysLog bool
 }
 
+// logEvent passes an event to Config.LogEvent, if that is set.
 func (r *Relay) logEvent(e Event) {
 	if r.cfg.LogEvent != nil {
 		r.cfg.LogEvent(e)
--- a/core/relay/group.go
+++ b/core/relay/group.go
@@ -12,12 +12,12 @@
 	"skylarkdeal/core/statement"
 )
 
-// group is one service's instances with what waits for them and runs on them.
+// group holds the instances of one service, and the operations that wait for them or run on them.
 type group struct {
 	r       *Relay
 	name    fleet.Service
 	service catalog.Service
-	// regionLimits are the regions of the service's databases that may not be served everywhere.
+	// regionLimits are the allowed regions of those databases of the service that are restricted to some.
 	regionLimits   []catalog.AllowedRegions
 	instances      map[fleet.Instance]*instance
 	primaryState   leader.PrimaryState
@@ -27,41 +27,42 @@
 	queue   admit.Queue
 	waiting map[uint64]*operation
 	running map[uint64]*operation
-	// pendingVerification are the answers that wait for their proof.
+	// pendingVerification holds the operations whose answers are pending verification.
 	pendingVerification map[uint64]*operation
-	// peerRequests are other hosts' questions that wait for a connection.
+	// peerRequests are status requests of other hosts that wait for a connection.
 	peerRequests []peerStatusRequest
-	// dispatching keeps pump from calling itself.
+	// dispatching prevents recursive dispatch.
 	dispatching bool
-	// promotionKnownAt is when the last order became known, primaryHeardAt when the primary last
-	// answered.
+	// promotionKnownAt is when the last promotion record became known, primaryHeardAt when the primary
+	// last responded.
 	promotionKnownAt, primaryHeardAt time.Time
-	// primaryConfirmedAt is when the primary was last settled.
+	// primaryConfirmedAt is when the primary was last confirmed.
 	primaryConfirmedAt time.Time
-	// promotionNotBefore is until when the last order can't have taken effect, as far as was known when
-	// it became known.
+	// promotionNotBefore is the earliest time at which the last promotion can have taken effect, as far
+	// as the lease told when its record became known.
 	promotionNotBefore time.Time
-	// solePrimaryWanted is the latest moment up to which an operation needs the primary to have led alone,
-	// that isn't known to have.
+	// solePrimaryWanted is the latest time up to which an operation requires a sole primary and which
+	// solePrimaryUntil hasn't reached yet, zero if none does.
 	solePrimaryWanted time.Time
-	// sampledAt is when the last point of the primary was taken in.
+	// sampledAt is when the last sample was added.
 	sampledAt time.Time
-	// unverifiedSample is a point of the primary that waits to be proved, as the store can't prove it.
+	// unverifiedSample is a sample of the primary that is pending verification by the other instances, as
+	// the lease doesn't verify it.
 	unverifiedSample staleness.Sample
-	// primaryAskedAt is when the primary was last asked whether it is one.
+	// primaryAskedAt is when the designated primary was last asked whether it is the primary.
 	primaryAskedAt time.Time
-	// primaryAvailableAt is when the primary could last answer.
+	// primaryAvailableAt is when the primary was last available.
 	primaryAvailableAt time.Time
-	// unconfirmedSince is since when no primary is settled.
+	// unconfirmedSince is since when no primary is confirmed.
 	unconfirmedSince time.Time
-	// positionsAskedAt is when the replicas were asked for an order, nextPromotionAt until when another
-	// one has to wait.
+	// positionsAskedAt is when the replicas were asked for their log positions, nextPromotionAt the
+	// earliest time of the next promotion request.
 	positionsAskedAt, nextPromotionAt time.Time
-	// promotionAcceptedAt is when the last order of this host was answered with success.
+	// promotionAcceptedAt is when the last promotion request of this host was accepted.
 	promotionAcceptedAt time.Time
-	// listReadAt is when the reading of the list of instances that is in use was begun.
+	// listReadAt is when the read of the current list of instances began.
 	listReadAt time.Time
-	// replicaReadAt is when a read was last looked for a replica.
+	// replicaReadAt is when a replica was last sought for a read.
 	replicaReadAt time.Time
 }
 
@@ -74,11 +75,11 @@
 	}
 }
 
-// removeAfter is how long an instance may be off the list before it counts as gone: the
-// store drops those that couldn't reach it for a while, and they are back within 2 s.
+// removeAfter is how long an instance may be missing from the list before it counts as removed. The
+// store drops instances that couldn't reach it for a while, and they return within 2 s.
 const removeAfter = 2500 * time.Millisecond
 
-// setInstances takes in the instances of the group as the list has them.
+// setInstances updates the instances of the group from a list whose read began at readAt.
 func (g *group) setInstances(listed []catalog.Instance, readAt time.Time) {
 	now := g.r.now()
 	g.listReadAt = readAt
@@ -87,13 +88,13 @@
 		i := g.instances[in.Name]
 		if i == nil || i.info.Address != in.Address || i.info.Started != in.Started {
 			if i != nil {
-				g.removeInstance(i, "it has another address now, or has started anew")
-				// What it has said of itself was said before that.
+				g.removeInstance(i, "its address has changed or it has restarted")
+				// Its last status precedes the change.
 				g.primaryState.AddRefusal(in.Name)
 			}
 			i = &instance{g: g, info: in, lastHeard: now, suspectedSince: now}
 			g.instances[in.Name] = i
-			g.logInstance(i, "use", "it is on the list")
+			g.logInstance(i, "use", "it is listed")
 		}
 		if in.Leaving && !i.info.Leaving {
 			g.logInstance(i, "no new work", "it is leaving")
@@ -112,29 +113,30 @@
 			i.unlistedSince = now
 		}
 		if now.Sub(i.unlistedSince) >= removeAfter {
-			g.removeInstance(i, "it is off the list")
+			g.removeInstance(i, "it is no longer listed")
 		}
 	}
 	g.primaryState.SetInstances(listed)
 	g.pump()
 }
 
+// logInstance logs a decision on an instance.
 func (g *group) logInstance(i *instance, choice, reason string) {
 	g.r.logEvent(Event{
 		Kind: EventInstance, Service: g.name, Instance: i.info.Name, Choice: choice, Reason: reason,
 	})
 }
 
-// removeInstance gives up an instance; what runs on it may end.
+// removeInstance marks an instance as removed. Operations that run on it may finish.
 func (g *group) removeInstance(i *instance, reason string) {
 	if i.removed {
 		return
 	}
 	i.removed = true
-	g.logInstance(i, "give up", reason)
+	g.logInstance(i, "stop using", reason)
 }
 
-// forgetRemoved drops what has been gone for long.
+// forgetRemoved deletes instances that have been missing from the list for longer than keepRemoved.
 func (g *group) forgetRemoved(now time.Time) {
 	for n, i := range g.instances {
 		if i.removed && len(i.conns) == 0 && !i.unlistedSince.IsZero() && now.Sub(i.unlistedSince) > keepRemoved {
@@ -143,8 +145,8 @@
 	}
 }
 
-// hasInstances reports whether any instance is there. An evacuation is no reason to send callers to
-// other hosts, as it holds for all.
+// hasInstances reports whether any instance is neither removed nor leaving. Evacuated instances count:
+// an evacuation applies to all hosts, so that callers gain nothing on another one.
 func (g *group) hasInstances() bool {
 	for _, i := range g.instances {
 		if !i.removed && !i.info.Leaving {
@@ -154,7 +156,7 @@
 	return false
 }
 
-// isPrimary reports whether the group's answers of an instance are a primary's.
+// isPrimary reports whether an instance is the confirmed primary, or the former one while it may still lead.
 func (g *group) isPrimary(n fleet.Instance) bool {
 	if p, _, ok := g.primaryState.Primary(); ok && p == n {
 		return true
@@ -163,8 +165,8 @@
 	return ok && f == n
 }
 
-// primary returns the instance that takes writes now. While an order is on its way the
-// former primary goes on, as long as it does.
+// primary returns the instance that takes writes now, nil if there is none. While a promotion is in
+// progress this is the former primary, until it no longer leads.
 func (g *group) primary() *instance {
 	if p, _, ok := g.primaryState.Primary(); ok {
 		return g.instances[p]
@@ -175,7 +177,7 @@
 	return nil
 }
 
-// handleRefusal takes in what a refusal tells of an instance.
+// handleRefusal updates the state of an instance after it refused an operation.
 func (g *group) handleRefusal(c *Conn, code statement.Code, o *operation) {
 	switch code {
 	case statement.CodeUnreachable:
@@ -188,7 +190,7 @@
 		if g.isPrimary(c.Instance) {
 			g.r.logEvent(Event{
 				Kind: EventLeader, Service: g.name, Instance: c.Instance, ID: o.q.ID,
-				Choice: "not the primary any more", Reason: "it refuses to write", Code: code,
+				Choice: "no longer the primary", Reason: "it refused a write", Code: code,
 			})
 		}
 		g.primaryState.AddRefusal(c.Instance)
@@ -197,7 +199,8 @@
 	}
 }
 
-// anyAccount returns an account under which the host may connect.
+// anyAccount returns an account for a connection of the host's own: that of a waiting operation, else the
+// first of the catalog.
 func (g *group) anyAccount() (fleet.Account, bool) {
 	for _, o := range g.waiting {
 		return o.s.account, true
--- a/core/relay/instance.go
+++ b/core/relay/instance.go
@@ -13,91 +13,93 @@
 type instance struct {
 	g    *group
 	info catalog.Instance
-	// conns are all connections to it that aren't closed.
+	// conns are this host's open connections to it, with those being dialled.
 	conns []*Conn
-	// forwardedCount counts the connections over other hosts.
+	// forwardedCount is the number of connections over other hosts.
 	forwardedCount int
-	// position is the farthest that its log is known to have reached.
+	// position is the last known log position.
 	position fleet.LogPosition
-	// received is the end of its log, as it last told when it was asked.
+	// received is the end of its log, by its last status.
 	received fleet.LogPosition
-	// leads is whether it last said that it is a primary, term the term that it said, and
-	// toldAt when that was.
+	// leads is set if it was a primary by its last status, term is the term of that status, and
+	// statusAt is when the status was received.
 	leads    bool
 	term     fleet.Term
 	statusAt time.Time
-	// termAskedAt is when it was asked for the term.
+	// termAskedAt is when the status that term comes from was requested.
 	termAskedAt time.Time
-	// lastHeard is when anything came from it.
+	// lastHeard is when it last responded on a connection of this host's own, at first when it was listed.
 	lastHeard time.Time
-	// failures counts failed connections in a row; the next is tried at next.
+	// failures is the number of consecutive failed connections, nextDial the earliest time of the next attempt.
 	failures int
 	nextDial time.Time
-	// suspectedSince is when nobody last suspectedSince it, as far as this host hears.
+	// suspectedSince is the last time at which no host suspected it, as far as this host knows.
 	suspectedSince time.Time
-	// failingSince is since when they do.
+	// failingSince is when the first of these failures occurred.
 	failingSince time.Time
-	// connLimitAt is when it last refused a connection for want of room, and room how many
-	// were open then.
+	// connLimitAt is when it last refused a connection because its limit was reached, connsAtLimit how
+	// many this host had open then.
 	connLimitAt  time.Time
 	connsAtLimit int
-	// connLimitRefusals counts refusals for want of room in a row.
+	// connLimitRefusals is the number of consecutive refusals for that reason.
 	connLimitRefusals int
-	// avgLatency is how long its statements take, as a moving average.
+	// avgLatency is the moving average of the latency of its statements, avgLatencyAt when it was updated.
 	avgLatency   time.Duration
 	avgLatencyAt time.Time
-	// laggingUntil is until when it is passed over for reads, as its log lacked a point, and
-	// lags how often in a row that was so.
+	// laggingUntil is until when reads that its log isn't known to cover avoid it, as it lacked a required
+	// position, and lagCount how often in a row it did.
 	laggingUntil time.Time
 	lagCount     int
-	// trialRead is the read that finds out whether the log has come as far as it needs.
+	// trialRead is the read in progress that was sent although the log isn't known to cover its position.
 	trialRead *operation
-	// blockedHosts are the hosts that couldn't reach it, with until when they aren't asked again.
+	// blockedHosts are the hosts that couldn't reach it, with the time until which nothing is forwarded to them.
 	blockedHosts map[fleet.Host]time.Time
-	// unlistedSince is since when it isn't on the list any more.
+	// unlistedSince is since when it is missing from the list, zero while it is listed.
 	unlistedSince time.Time
 	removed       bool
 	// addressReused is set once another instance has answered at its address.
 	addressReused bool
-	// askedAt is when it was last asked what it is.
+	// askedAt is when its status was last requested.
 	askedAt time.Time
 	ranking ranking
-	// coldUntil is until when it is slow after its start, as it has said; budget is what it was
-	// sent meanwhile.
+	// coldUntil is until when it is slow after its start, as it announced; coldBudget counts the
+	// statements sent to it meanwhile.
 	coldUntil  time.Time
 	coldBudget cold.SendBudget
-	// lost is set while it couldn't be reached, or has closed all connections; reconnectedAt is when one was
-	// made again.
+	// disconnected is set once a connection has failed or the instance has closed all of them, until one
+	// is opened; reconnectedAt is when that was.
 	reconnectedAt time.Time
 	disconnected  bool
 }
 
 const (
-	// connLimitPause is the first pause after an instance had no room: some statements' time,
-	// in which another host may give a connection back.
+	// connLimitPause is the first pause after an instance refused a connection because its limit was
+	// reached: the time of some statements, in which another host may release a connection.
 	connLimitPause = 30 * time.Millisecond
-	// connLimitPauseMax bounds that pause. A refusal takes 12 ms of a slot, so that one host which
-	// asks again takes a tenth of one; and the room that others leave is soon used.
+	// connLimitPauseMax bounds that pause. A refusal takes 12 ms of a slot, so that a host that retries
+	// at this interval takes a tenth of a slot. A released connection is noticed soon.
 	connLimitPauseMax = 120 * time.Millisecond
-	// dialBackoffMin and backoffMax bound the pause before the next try to connect to an
-	// instance that couldn't be reached. The first is about the time that a connection
-	// takes; the last bounds how late a returned instance is found.
+	// dialBackoffMin and dialBackoffMax bound the pause before the next attempt to connect to an
+	// unreachable instance. The minimum is about the time that a connection takes; the maximum bounds
+	// how late the return of an instance is noticed.
 	dialBackoffMin = 50 * time.Millisecond
 	dialBackoffMax = 800 * time.Millisecond
 )
 
+// heard records a response of the instance on a connection of this host's own.
 func (i *instance) heard(now time.Time) {
 	i.lastHeard = now
 	i.failures = 0
 }
 
-// heardRecently reports whether anything has come from the instance a moment ago: a connection
-// that breaks then tells of itself alone, and the next one is made without a pause. One whose
-// instance has died is followed by a new one that fails.
+// heardRecently reports whether the instance has responded within probeAfter. A connection that breaks
+// then is no sign of a failed instance, and the next one is made without a pause. If the instance has
+// in fact died, that next connection fails.
 func (i *instance) heardRecently(now time.Time) bool {
 	return now.Sub(i.lastHeard) < probeAfter
 }
 
+// addLatency adds the latency of a statement to the moving average.
 func (i *instance) addLatency(now time.Time, took time.Duration) {
 	if i.avgLatency == 0 {
 		i.avgLatency = took
@@ -106,7 +108,8 @@
 	i.avgLatencyAt = now
 }
 
-// addFailure takes in that a connection couldn't be made or broke while it owed an answer.
+// addFailure records that a connection couldn't be made, or broke with an answer pending, and sets the
+// pause before the next attempt.
 func (i *instance) addFailure(now time.Time, reason string) {
 	if i.failures == 0 {
 		i.failingSince = now
@@ -121,47 +124,47 @@
 	i.nextDial = now.Add(min(pause, dialBackoffMax))
 }
 
-// connectRefused takes in that the instance has refused a connection that was begun at some moment.
+// connectRefused handles a connection, begun at dialledAt, that the instance has refused.
 func (i *instance) connectRefused(now, dialledAt time.Time, c statement.Code) {
 	switch c {
 	case statement.CodeTooMany:
 		i.heard(now)
 		if !dialledAt.After(i.connLimitAt) {
-			// It was begun beside another that was refused, and tells nothing new.
+			// It was dialled before the last such refusal, which already set the pause.
 			return
 		}
 		i.connLimitAt, i.connsAtLimit = now, i.standing()
 		i.nextDial = now.Add(min(connLimitPause<<min(i.connLimitRefusals, 10), connLimitPauseMax))
 		i.connLimitRefusals++
 	case statement.CodeMisrouted:
-		// Another instance has the address now: this one has gone, whatever the list says.
+		// Another instance has the address now: this one is removed, even if it is still listed.
 		i.addressReused, i.removed = true, true
 		i.nextDial = now.Add(dialBackoffMax)
 	default:
-		i.addFailure(now, "refused: "+string(c))
+		i.addFailure(now, "connection refused: "+string(c))
 	}
 }
 
-// addLag takes in that the log lacks a point that a read needs. A replica that is far
-// behind would else be asked in vain by every read, while its caller waits.
+// addLag records that the log lacked the required position of a read, and sets the time until which
+// reads avoid the replica. Otherwise every read would try a replica that lags far behind, while its
+// caller waits.
 func (i *instance) addLag(now time.Time) {
 	i.laggingUntil = now.Add(min(lagPause<<min(i.lagCount, 10), lagPauseMax))
 	i.lagCount++
 }
 
 // mayTrialRead reports whether a read may go to the instance although its log isn't known to cover
-// what the read needs: a while after it last lacked a point, and one read at a time. With
-// the replicas of a group seconds behind, a dozen reads went there together at each try,
-// took their turns, and came back up to half a second later with nothing.
+// the required position: only after the pause that addLag sets, and one read at a time. When the
+// replicas of a group lagged by seconds, a dozen reads went to one at each attempt, queued there, and
+// were refused up to half a second later.
 func (i *instance) mayTrialRead(now time.Time, o *operation) bool {
 	return !now.Before(i.laggingUntil) && (i.trialRead == nil || i.trialRead == o)
 }
 
-// blockedHostFor is how long a host that can't reach an instance isn't asked again.
+// blockedHostFor is how long statements for an instance aren't forwarded to a host that can't reach it.
 const blockedHostFor = 500 * time.Millisecond
 
-// blockHost takes in that another host can't reach the instance, and sees whether this one
-// can.
+// blockHost records that another host can't reach the instance, and probes whether this host can.
 func (i *instance) blockHost(h fleet.Host) {
 	now := i.g.r.now()
 	if i.blockedHosts == nil {
@@ -173,13 +176,13 @@
 	}
 }
 
-// usable reports whether new work may go to the instance.
+// usable reports whether new operations may go to the instance.
 func (i *instance) usable() bool { return !i.removed && !i.info.Leaving && !i.evacuated() }
 
-// local reports whether it is in this host's data centre.
+// local reports whether the instance is in this host's data centre.
 func (i *instance) local() bool { return i.info.DataCentre == i.g.r.cfg.DataCentre }
 
-// busyConns counts the connections that are at work.
+// busyConns returns the number of connections that run an operation, with all those over other hosts.
 func (i *instance) busyConns() int {
 	n := i.forwardedCount
 	for _, c := range i.conns {
@@ -190,7 +193,7 @@
 	return n
 }
 
-// oldestStatementAge returns for how long the instance has worked on its oldest statement.
+// oldestStatementAge returns how long ago the oldest pending statement was sent, 0 if none is pending.
 func (i *instance) oldestStatementAge(now time.Time) time.Duration {
 	oldest := time.Duration(0)
 	for _, c := range i.conns {
--- a/core/relay/outcome.go
+++ b/core/relay/outcome.go
@@ -6,7 +6,7 @@
 	"skylarkdeal/core/statement"
 )
 
-// handleAnswer takes the instance's answer.
+// handleAnswer handles the instance's answer to the operation.
 func (o *operation) handleAnswer(a statement.Answer) {
 	c := o.conn
 	if c.op != o {
@@ -23,7 +23,7 @@
 		return
 	}
 	o.g.handleRefusal(c, a.Code, o)
-	// What was to be prepared ahead of it was turned away.
+	// The instance refused the prepare that was sent ahead of the statement.
 	c.spoilt = c.spoilt || a.Code == statement.CodeNotPrepared
 	if o.opens && c.via != "" && a.Code.NotRun() {
 		// The other host has not begun the transaction, or has rolled it back.
@@ -48,12 +48,13 @@
 	o.finish(a)
 }
 
-// releaseOutsideTx frees a connection after a statement outside a transaction, or closes one that
-// is in a state which it should not be in.
+// releaseOutsideTx frees a connection after a statement outside a transaction, or closes it if it is
+// still in one.
 func (c *Conn) releaseOutsideTx(a statement.Answer) {
 	c.retireUnless(a.State == statement.TxNone)
 }
 
+// handleSuccess releases the connection if no transaction stays open on it, and verifies the answer.
 func (o *operation) handleSuccess(a statement.Answer) {
 	c := o.conn
 	commit := o.q.Kind == statement.KindCommit
@@ -68,18 +69,17 @@
 	o.g.verifyAnswer(o, c, a)
 }
 
-// failTransaction answers a failure in a transaction, which is rolled back.
+// failTransaction rolls back the operation's transaction and answers with the failure.
 func (o *operation) failTransaction(a statement.Answer) {
 	o.s.fail()
 	o.finish(a)
 }
 
-// retry sends the operation off once more, as nothing of it was run, or tells the
-// caller so.
+// retry queues an operation again that was not run, or refuses it if there is no time or instance left.
 //
-// The guard is for an operation of a transaction that had begun, whose value was refused or
-// whose connection broke before it was sent: elsewhere it would run by itself, and be kept
-// while the rest of its transaction is not.
+// An operation of a transaction that had begun isn't retried, such as one whose SET was refused or whose
+// connection broke before it was sent. On another connection it would run and commit on its own, while
+// the rest of its transaction is rolled back.
 func (o *operation) retry(code statement.Code) {
 	now := o.g.r.now()
 	o.releaseSlot(now, 0)
@@ -88,7 +88,8 @@
 	}
 	if o.begun() {
 		o.failTransaction(statement.Answer{
-			Code: statement.CodeAborted, Detail: "rolled back: its connection could not be made ready", RetryAfter: shortRetryAfter,
+			Code: statement.CodeAborted, Detail: "rolled back: its connection could not be made ready",
+			RetryAfter: shortRetryAfter,
 		})
 		return
 	}
@@ -105,19 +106,19 @@
 		return
 	}
 	o.g.r.counts.Retried++
-	o.note(EventRetry, "run it elsewhere", "it was not run", code)
+	o.note(EventRetry, "retry the statement", "it was not run", code)
 	o.wait()
 }
 
-// shortRetryAfter is when to come back after a trouble that passes by itself, such as a change
-// of primary that is about to end.
+// shortRetryAfter is the delay after which a caller may retry when a failure is short, such as a
+// promotion that is about to finish.
 const shortRetryAfter = 100 * time.Millisecond
 
 // connLost handles the loss of the connection that ran the operation.
 //
-// What was not sent was not run. A transaction that was not told to commit is rolled
-// back with its connection. Only a write or a commit of writes that was sent may have
-// been run or not: it is never sent again, and its caller is told so at once.
+// A statement that was not sent was not run. A transaction whose commit was not sent is rolled back
+// with its connection. Only a write, or the commit of writes, that was sent may have been run or not:
+// it is never sent again, and its caller is told at once that it is in doubt.
 func (o *operation) connLost(reason string) {
 	if o.over {
 		return
@@ -129,7 +130,9 @@
 		o.retry(statement.CodeBusy)
 	case o.s.tx.open && (!commit || !o.s.tx.writes):
 		o.s.tx.failed = true
-		o.answerCaller(statement.Answer{Code: statement.CodeAborted, Detail: "rolled back: " + reason, RetryAfter: shortRetryAfter})
+		o.answerCaller(statement.Answer{
+			Code: statement.CodeAborted, Detail: "rolled back: " + reason, RetryAfter: shortRetryAfter,
+		})
 	case commit || o.writes:
 		o.answerInDoubt(reason)
 	default:
@@ -137,17 +140,17 @@
 	}
 }
 
-// answerInDoubt tells the caller that its write may have been run or not.
+// answerInDoubt answers that the write may have been run or not.
 func (o *operation) answerInDoubt(reason string) {
 	o.g.r.counts.InDoubt++
 	o.answerCaller(statement.Answer{Code: statement.CodeInDoubt, Detail: "sent, but not known to be kept: " + reason})
 }
 
-// timeOut gives up a statement that has reached its deadline at the instance.
+// timeOut closes the connection of a statement that has reached its deadline at the instance, and answers.
 func (o *operation) timeOut() {
 	c := o.conn
 	c.op = nil
-	o.note(EventAnswer, "give up", "the statement has reached its time limit", statement.CodeTimeout)
+	o.note(EventAnswer, "time out", "the statement has reached its time limit", statement.CodeTimeout)
 	c.lost("a statement reached its time limit")
 	if o.s.tx.conn == c {
 		o.s.tx.conn = nil
@@ -160,7 +163,7 @@
 	o.connLost("the statement has reached its time limit")
 }
 
-// refuse answers that nothing was run.
+// refuse answers that nothing was run, and refunds the admission if no instance was sent any of it.
 func (o *operation) refuse(code statement.Code, reason string, retryAfter time.Duration) {
 	if !o.ran && (!o.s.tx.open || !o.s.tx.ran) && o.g.r.cfg.Refund != nil && o.s.instance == "" {
 		o.g.r.cfg.Refund(o.s.account)
@@ -170,7 +173,7 @@
 		o.s.fail()
 	}
 	if code == statement.CodeFailed || code == statement.CodeTimeout || code == statement.CodeNotPrepared {
-		// Of a read nothing is kept, so that the caller may be told to come again.
+		// Nothing was run, or only a read, which has no effect: the caller may retry.
 		code = statement.CodeBusy
 	}
 	o.g.r.counts.Refused++
@@ -179,7 +182,7 @@
 	o.answerCaller(statement.Answer{Code: code, Detail: reason, RetryAfter: retryAfter})
 }
 
-// finish gives the instance's answer.
+// finish answers the caller with the instance's answer.
 func (o *operation) finish(a statement.Answer) {
 	if a.Code == statement.CodeNone {
 		o.g.r.counts.Answered++
@@ -187,8 +190,8 @@
 	o.answerCaller(a)
 }
 
-// releaseSlot gives back the operation's place at an instance, which it held for took; zero
-// tells that nothing is to be learnt from it.
+// releaseSlot releases the slot that the operation took in the group's queue. latency is how long it
+// held the slot, zero if that must not count in the queue's history.
 func (o *operation) releaseSlot(now time.Time, latency time.Duration) {
 	delete(o.g.running, o.key)
 	if c := o.conn; c != nil && c.inst.trialRead == o {
@@ -197,8 +200,8 @@
 	o.g.queue.Finished(now, o.key, latency)
 }
 
-// answerCaller ends the operation with an answer to its caller. A commit ends its transaction,
-// however it went.
+// answerCaller ends the operation with an answer to its caller. A commit ends its transaction whatever
+// its outcome.
 func (o *operation) answerCaller(a statement.Answer) {
 	if o.over {
 		return
@@ -225,7 +228,7 @@
 	s.rest()
 }
 
-// abandon ends the operation of a caller that has gone.
+// abandon ends the operation of a caller that has disconnected.
 func (o *operation) abandon() {
 	if o.over {
 		return
--- a/core/relay/outlook.go
+++ b/core/relay/outlook.go
@@ -6,9 +6,9 @@
 	"skylarkdeal/core/staleness"
 )
 
-// unavailableReason says why the group's primary can't answer now; nothing if it can. An answer that
-// can't be proved is of no use to a caller: a write would be left in doubt, where one that
-// isn't sent can be refused truly and run elsewhere.
+// unavailableReason returns why the group's primary can't serve now, empty if it can. A primary whose
+// answers can't be verified counts as unavailable: a write sent there would be in doubt, whereas one
+// that isn't sent can be refused as not run and retried elsewhere.
 func (g *group) unavailableReason(now time.Time) string {
 	p := g.primary()
 	switch {
@@ -31,8 +31,8 @@
 	return ""
 }
 
-// superseded reports whether an instance has said that it is in a later term than the primary
-// that is used: what is sent there would be in doubt.
+// superseded reports whether an instance has reported a later term than that of the current primary. A
+// write sent to that primary would be in doubt.
 func (g *group) superseded() bool {
 	_, t, ok := g.primaryState.Primary()
 	if !ok {
@@ -46,8 +46,8 @@
 	return false
 }
 
-// refusalReason says why an operation can't be served in time, and when to come back. Whoever
-// is told at once can come back in time, or to a host that can.
+// refusalReason returns why an operation can't be served before its deadline, empty if it can, and after
+// how long to retry. A caller that is refused at once has time to retry, or to use another host.
 func (g *group) refusalReason(now time.Time, o *operation) (string, time.Duration) {
 	if n := o.s.instance; n != "" {
 		i := g.instances[n]
@@ -86,8 +86,8 @@
 	return reason, wait
 }
 
-// refusedByAll reports whether an operation has been turned away by all that can run it. To
-// wait would then be in vain: it is tried on each only once.
+// refusedByAll reports whether every instance that can run an operation has refused it. It is tried on
+// each only once, so that it need not wait.
 func (g *group) refusedByAll(o *operation) bool {
 	if len(o.avoid) == 0 {
 		return false
@@ -106,23 +106,24 @@
 	return true
 }
 
-// replicaReachable reports whether any instance but the primary can be reached for a read that needs s.
+// replicaReachable reports whether a replica that shares the history of s can be reached for a read.
 func (g *group) replicaReachable(now time.Time, o *operation, s staleness.Sample) bool {
 	for _, i := range g.instances {
-		if i.usable() && i.sharesHistory(s) && !g.isPrimary(i.info.Name) && g.r.reaches(now, i) && !o.avoid.Has(i.info.Name) {
+		if i.usable() && i.sharesHistory(s) && !g.isPrimary(i.info.Name) && g.r.reaches(now, i) &&
+			!o.avoid.Has(i.info.Name) {
 			return true
 		}
 	}
 	return false
 }
 
-// startingUp reports whether the host has just started and may not have read which instances there are,
-// although others know. What they send it is worth a moment's wait: told that this host can't reach
-// the instance, they would turn to one another.
+// startingUp reports whether the host has started so recently that it may not have read the list of
+// instances yet, although other hosts have. Operations that they forward wait meanwhile: if this host
+// answered that it can't reach the instance, they would try further hosts one after the other.
 func (r *Relay) startingUp(now time.Time) bool { return now.Sub(r.began) < acquaintance }
 
-// primaryCoversRead reports whether the primary can be reached and is known to have led up to the moment whose
-// commits a read has to show.
+// primaryCoversRead reports whether the primary can be reached and is known to have been the only one up to
+// the time as of which the read has to show all commits.
 func (g *group) primaryCoversRead(now time.Time, o *operation) bool {
 	p := g.primary()
 	return p != nil && g.r.reaches(now, p) && p.open(now) && !o.avoid.Has(p.info.Name) && !g.superseded() &&
@@ -130,22 +131,23 @@
 }
 
 const (
-	// maxPrimaryWait is how long a caller is held for a primary that is to come; beyond it
-	// the caller is told when to come back.
+	// maxPrimaryWait is how long an operation waits for a primary to become available. If the estimate
+	// is longer, the caller is told when to retry.
 	maxPrimaryWait = 400 * time.Millisecond
-	// promotionDuration is what the platform takes to carry out an order, with the questions
-	// that settle it, and noticeTime what the hosts take to see that one is needed.
+	// promotionDuration is how long the platform takes for a promotion, with the status requests that
+	// confirm the new primary, and failureDetectionTime how long the hosts take to detect that one is
+	// needed.
 	promotionDuration    = 1100 * time.Millisecond
 	failureDetectionTime = 400 * time.Millisecond
 )
 
-// regionRetryAfter is when to come back to a service that has no instance in a region which is allowed: it
-// takes a change by operators, or of the primary.
+// regionRetryAfter is the delay after which a caller may retry when no instance is in an allowed region:
+// that changes only by an action of operators or with another primary.
 const regionRetryAfter = 2 * time.Second
 
-// estimatePrimaryWait guesses when the group will have a primary that can answer.
+// estimatePrimaryWait estimates how long it takes until the group has an available primary.
 func (g *group) estimatePrimaryWait(now time.Time) time.Duration {
-	if _, _, settled := g.primaryState.Primary(); settled {
+	if _, _, confirmed := g.primaryState.Primary(); confirmed {
 		return failureDetectionTime + promotionDuration
 	}
 	if left := promotionDuration - now.Sub(g.promotionKnownAt); left > 0 {
--- a/core/relay/prove.go
+++ b/core/relay/prove.go
@@ -9,7 +9,8 @@
 	"skylarkdeal/core/statement"
 )
 
-// addPosition takes in what every answer tells: where the instance's log stands.
+// addPosition handles the log position that comes with an answer of an instance. If the instance is the
+// confirmed primary, it makes a sample of it.
 func (g *group) addPosition(c *Conn, askedAt time.Time, a statement.Answer) {
 	p, ok := a.Position.Get()
 	if !ok {
@@ -23,8 +24,8 @@
 		return
 	}
 	g.primaryHeardAt = now
-	// What it was asked before it said that it leads, it may have answered as a replica: its log
-	// was then shorter than what it has led with. Answers of two connections have no order.
+	// A request that was sent before the primary was confirmed may have been answered while it was still a
+	// replica, whose log was shorter than at its promotion. Answers on two connections have no order.
 	if askedAt.Before(g.primaryConfirmedAt) {
 		return
 	}
@@ -37,15 +38,15 @@
 	}
 }
 
-// unverifiedSampleTimeout is how long a point waits until the primary is known to have led when it was asked for:
-// some round trips.
+// unverifiedSampleTimeout is how long a sample is pending verification that the primary was still the
+// primary when it was asked: some round trips.
 const unverifiedSampleTimeout = 400 * time.Millisecond
 
-// verifySample takes in the point that waits, once the primary is known to have led alone up to the moment
-// at which it was asked for, and has the other instances asked for that.
+// verifySample adds the sample that is pending verification, once the primary is known to have been the
+// only one up to the time at which it was asked. Until then it has the other instances asked for their terms.
 //
-// The load it is made for: reads of an age while the store is away. The next cut would leave them
-// without a point that is young enough, although replicas have all that they need.
+// Designed for reads with a maximum age while the store is unavailable. Without it, the next network
+// partition would leave them without a recent enough sample, although replicas have all that they need.
 func (g *group) verifySample(now time.Time) {
 	s := g.unverifiedSample
 	if s.AskedAt.IsZero() {
@@ -64,40 +65,41 @@
 	}
 }
 
-// addSample takes in a point of the primary.
+// addSample adds a verified sample of the primary.
 func (g *group) addSample(i fleet.Instance, s staleness.Sample) {
 	g.samples.Add(s)
 	if g.promotionRecent(g.r.now()) && g.sampledAt.Before(g.promotionKnownAt) {
 		g.r.logEvent(Event{
 			Kind: EventLeader, Service: g.name, Instance: i, InstancePoint: s.Position, Term: s.PrimaryTerm,
-			Choice: "let reads go by its point", Reason: "the first since the order", Age: g.r.now().Sub(s.AskedAt),
+			Choice: "use its log position for reads", Reason: "first sample since the promotion",
+			Age: g.r.now().Sub(s.AskedAt),
 		})
 	}
 	g.sampledAt = g.r.now()
 }
 
-// promotionLogDuration is how long after an order the log tells of each read that a replica gets, and of
-// each instance's term: they are what a stale read is traced by, and too many at other times.
+// promotionLogDuration is how long after a promotion each read on a replica and each change of an
+// instance's term is logged. They are needed to trace a stale read, and too many at other times.
 const promotionLogDuration = 3 * time.Second
 
-// promotionRecent reports whether an order became known a moment ago.
+// promotionRecent reports whether a promotion became known within promotionLogDuration.
 func (g *group) promotionRecent(now time.Time) bool {
 	return now.Sub(g.promotionKnownAt) < promotionLogDuration
 }
 
-// handleStatus takes in what an instance, asked at some moment, has said of itself.
+// handleStatus handles the status of an instance, requested at askedAt.
 func (g *group) handleStatus(c *Conn, askedAt time.Time, a statement.Answer) {
 	s, ok := g.r.cfg.ParseStatus(a)
 	if !ok {
 		return
 	}
-	// A word that was asked for before the last one may come after it, over another connection:
-	// it would make the instance again what it was, and unsettle a primary that leads.
+	// A status that was requested before the last one may arrive after it, over another connection. It
+	// would restore the outdated state, and the current primary would no longer be confirmed.
 	if !askedAt.Before(c.inst.termAskedAt) {
 		g.setStatus(c.inst, askedAt, s)
 	}
-	proved, refuted := g.pendingAnswers.AddStatus(c.Instance, askedAt, s.Term)
-	for _, cl := range proved {
+	verified, refuted := g.pendingAnswers.AddStatus(c.Instance, askedAt, s.Term)
+	for _, cl := range verified {
 		g.answerVerified(cl)
 	}
 	for _, cl := range refuted {
@@ -105,19 +107,19 @@
 	}
 }
 
-// setStatus takes in an instance's last word on itself.
+// setStatus stores the newest status of an instance, and uses it as the primary if that confirms it.
 func (g *group) setStatus(i *instance, askedAt time.Time, s statement.Status) {
 	now := g.r.now()
 	if i.term != s.Term && g.promotionRecent(now) {
 		g.r.logEvent(Event{
 			Kind: EventInstance, Service: g.name, Instance: i.info.Name, Term: s.Term, Received: s.Received,
-			InstancePoint: i.position, Choice: "in a new term", Reason: "it says that it is a " + string(s.Role),
+			InstancePoint: i.position, Choice: "in a new term", Reason: "it reports that it is a " + string(s.Role),
 		})
 	}
 	i.received, i.leads, i.term = s.Received, s.Role == fleet.RolePrimary, s.Term
 	i.statusAt, i.termAskedAt = now, askedAt
 	if p, t, ok := g.primaryState.Primary(); ok && i.info.Name != p && s.Term > t {
-		// The record of the order that it follows is still to be read.
+		// The record of the promotion to this term has yet to be read.
 		g.r.cfg.RefreshRecords()
 	}
 	if !g.primaryState.AddStatus(i.info.Name, s) {
@@ -125,13 +127,14 @@
 	}
 	g.primaryHeardAt, g.primaryConfirmedAt = now, now
 	g.r.logEvent(Event{
-		Kind: EventLeader, Service: g.name, Instance: i.info.Name, Term: s.Term, InstancePoint: i.position, Received: s.Received,
-		Choice: "use as the primary", Reason: "it says that it leads", Age: now.Sub(g.promotionKnownAt),
+		Kind: EventLeader, Service: g.name, Instance: i.info.Name, Term: s.Term,
+		InstancePoint: i.position, Received: s.Received,
+		Choice: "use as the primary", Reason: "it reports that it is the primary", Age: now.Sub(g.promotionKnownAt),
 	})
 }
 
-// verifyAnswer gives an answer to its caller, or has it wait for the proof that it came from
-// the primary. Reads on replicas were proved by the point they had to cover.
+// verifyAnswer passes an answer on to its caller, or holds it until it is verified that it came from the
+// primary. A read on a replica needs no verification, as the replica checked the required position.
 func (g *group) verifyAnswer(o *operation, c *Conn, a statement.Answer) {
 	if o.s.instance != "" {
 		o.finish(a)
@@ -166,12 +169,12 @@
 	}
 }
 
-// answerCoversRead reports whether the primary's answer to a read of an age answerCoversRead all that it has to, whoever
-// leads by now: the instance is known to have led alone up to the moment whose commits it owes,
-// and its log holds the session's own.
+// answerCoversRead reports whether the primary's answer to a read with a maximum age shows all commits
+// that it has to, even if another instance leads by now: the instance is known to have been the only
+// primary up to the time as of which the read shows all commits, and its log holds the session's own.
 //
-// The load it is made for: a data centre that is cut off with the store away. Its primaries can't be
-// proved to lead any more, yet for as long as callers accept they know all that is owed.
+// Designed for a data centre that is cut off while the store is unavailable. Its primaries can no longer
+// be verified, but they have all required commits until the maximum age has passed.
 func (g *group) answerCoversRead(o *operation, c *Conn, a statement.Answer) bool {
 	if o.lead || g.primary() != c.inst || g.solePrimaryUntil().Before(o.age) {
 		return false
@@ -180,19 +183,20 @@
 	return ok && p.Covers(o.s.written)
 }
 
-// verificationTimeout bounds the wait for a proof. It is some round trips with a new
-// connection; what is not proved by then depends on an instance that can't be reached.
+// verificationTimeout bounds the verification of an answer. It allows for some round trips and a new
+// connection. An answer still pending then depends on an instance that can't be reached.
 const verificationTimeout = 250 * time.Millisecond
 
-// possiblePrimaries returns the instances besides n that may lead. One that is off the list may
-// still run, and be promoted by a host that finds it on the list again; this host
-// leaves it out only where it has not found it there for long, and as long after it has looked as
-// no order that was given since can have taken effect.
+// possiblePrimaries returns the instances besides n that may lead. An instance that is missing from the
+// list may still run, and may be promoted by a host that finds it listed again. It is left out only if it
+// has been missing for longer than ignoreUnlistedAfter and the list was read less than
+// leader.LeaseValidity ago, so that no promotion requested since can have taken effect.
 func (g *group) possiblePrimaries(n fleet.Instance) []fleet.Instance {
 	now := g.r.now()
 	var out []fleet.Instance
 	for _, i := range g.instances {
-		ignored := i.removed && now.Sub(i.unlistedSince) > ignoreUnlistedAfter && now.Sub(g.listReadAt) < leader.LeaseValidity
+		ignored := i.removed && now.Sub(i.unlistedSince) > ignoreUnlistedAfter &&
+			now.Sub(g.listReadAt) < leader.LeaseValidity
 		if i.info.Name != n && !ignored {
 			out = append(out, i.info.Name)
 		}
@@ -201,13 +205,13 @@
 }
 
 const (
-	// ignoreUnlistedAfter is how long an instance has to be off the list to be left out of proofs,
-	// keepGone how long it is remembered.
+	// ignoreUnlistedAfter is how long an instance has to be missing from the list to be left out of
+	// verifications, keepRemoved how long its state is kept.
 	ignoreUnlistedAfter = 10 * time.Second
 	keepRemoved         = 5 * time.Minute
 )
 
-// finishVerified gives a proved answer.
+// finishVerified answers the caller with a verified answer, and records the position of the session's last write.
 func (g *group) finishVerified(o *operation, a statement.Answer) {
 	if p, ok := a.Position.Get(); ok && o.writes && !o.s.written.Covers(p) {
 		o.s.written = p
@@ -215,6 +219,7 @@
 	o.finish(a)
 }
 
+// answerVerified handles the verification of a pending answer, whose position becomes a sample.
 func (g *group) answerVerified(c leader.PendingAnswer) {
 	o := g.pendingVerification[c.Key]
 	delete(g.pendingVerification, c.Key)
@@ -227,6 +232,7 @@
 	g.finishVerified(o, *o.answer)
 }
 
+// answerUnverified handles a pending answer that was refuted or not verified in time.
 func (g *group) answerUnverified(c leader.PendingAnswer, reason string) {
 	o := g.pendingVerification[c.Key]
 	delete(g.pendingVerification, c.Key)
@@ -236,9 +242,8 @@
 	g.finishUnverified(o, reason)
 }
 
-// finishUnverified handles an answer of what may no longer be the primary. A write may be
-// lost; a read is run elsewhere, or its caller told to come back, as nothing is kept
-// of it.
+// finishUnverified handles an answer of an instance that may no longer be the primary. A write is in
+// doubt, as it may be lost. A read has no effect: it is retried, or its caller is told to retry.
 func (g *group) finishUnverified(o *operation, reason string) {
 	commit := o.q.Kind == statement.KindCommit
 	switch {
@@ -246,7 +251,9 @@
 		o.answerInDoubt(reason)
 	case o.s.tx.open:
 		o.s.fail()
-		o.answerCaller(statement.Answer{Code: statement.CodeAborted, Detail: "rolled back: " + reason, RetryAfter: shortRetryAfter})
+		o.answerCaller(statement.Answer{
+			Code: statement.CodeAborted, Detail: "rolled back: " + reason, RetryAfter: shortRetryAfter,
+		})
 	default:
 		o.retry(statement.CodeBusy)
 	}
--- a/core/relay/reign.go
+++ b/core/relay/reign.go
@@ -7,13 +7,13 @@
 	"skylarkdeal/core/staleness"
 )
 
-// solePrimaryUntil returns the moment up to which the instance that is used as the primary is known to
-// have led alone. Commits of another can only have been acknowledged after it. It may lie ahead.
+// solePrimaryUntil returns the time up to which the instance that is used as the primary is known to be
+// the only one. Another instance can have acknowledged commits only after it. It may be in the future.
 //
-// Two things tell: a renewed registration, for as long as no order can take effect that was not
-// known when it was renewed, and the other instances' own word that they are in no later term,
-// for the moment at which they were asked. While an order is on its way, the instance that it
-// names has to be asked whatever the registration tells.
+// It is the later of two times. The first is the end of the lease: until then no promotion can take
+// effect that was unknown when the registration was renewed. The second is the earliest time at which
+// the other instances were asked for statuses that show no later term. While a promotion is in progress,
+// the designated primary has to be asked even if the lease is valid, for times after promotionNotBefore.
 func (g *group) solePrimaryUntil() time.Time {
 	known := g.r.lease.Until()
 	if p, t, ok := g.primaryState.Primary(); ok {
@@ -38,8 +38,8 @@
 	return later(known, g.promotionNotBefore)
 }
 
-// noLaterTermAt returns the moment at which all of some instances were in no later term than t, by
-// their own word; now if there are none.
+// noLaterTermAt returns the time at which all of the instances were in no later term than t, by their own
+// statuses; now if there are none, zero if one is in a later term or hasn't been asked.
 func (g *group) noLaterTermAt(instances []fleet.Instance, t fleet.Term) time.Time {
 	at := g.r.now()
 	for _, n := range instances {
@@ -54,6 +54,7 @@
 	return at
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -61,14 +62,14 @@
 	return b
 }
 
-// primaryMayRun reports whether the primary may run an operation: whether it is known to have led alone
-// up to the moment whose commits the operation's reads have to show. A write needs no more
-// than the proof of its answer.
+// primaryMayRun reports whether the primary may run an operation: whether it is known to have been the
+// only primary up to the time as of which the operation's reads have to show all commits. A write needs
+// only the verification of its answer.
 //
-// The guard is against a read that runs on a primary which was replaced, and lacks what its
-// successor has acknowledged: its answer could be withheld afterwards, but it has run. What is
-// owed is fixed when the operation begins, so that a read which is held up after this, in a queue
-// or on the way, still shows all that it has to.
+// Guards against a read that runs on a primary which was replaced, and lacks commits that its successor
+// has acknowledged: its answer could be withheld afterwards, but it has run. The required time is fixed
+// when the operation begins, so that a read which is delayed after this check, in a queue or on the
+// network, still shows all that it has to.
 func (g *group) primaryMayRun(o *operation) bool {
 	if o.writes && !o.opens || !g.solePrimaryUntil().Before(o.age) {
 		return true
@@ -77,7 +78,8 @@
 	return false
 }
 
-// requestOtherTerms asks the other instances for what the operations lack that wait for mayLead.
+// requestOtherTerms requests the status of the other instances, if operations wait for primaryMayRun or a
+// sample is pending verification.
 func (g *group) requestOtherTerms(now time.Time) {
 	after := g.solePrimaryWanted
 	g.solePrimaryWanted = time.Time{}
@@ -87,31 +89,33 @@
 	}
 	for _, n := range g.possiblePrimaries(p.info.Name) {
 		i := g.instances[n]
-		if i == nil || !i.termAskedAt.Before(after) || !i.askedAt.Before(after) && now.Sub(i.askedAt) < primaryRequestInterval {
+		if i == nil || !i.termAskedAt.Before(after) ||
+			!i.askedAt.Before(after) && now.Sub(i.askedAt) < primaryRequestInterval {
 			continue
 		}
 		g.requestStatus(now, i)
 	}
 }
 
-// sharesHistory reports whether the log of a replica is known to be of the history that a sample was
-// taken in, so that covering its point means to hold what is before it.
+// sharesHistory reports whether the log of a replica is known to belong to the history of a sample. Only
+// then does a log that covers the sample's position hold all entries before it.
 //
-// A promotion writes no entry: until its first commit, the new primary's point is of the former
-// term. A replica that hasn't heard of the change covers that point by the former primary's
-// history, whatever either of them lacks of the other's. A point of the new term is in no other
-// history; for one of before, the replica has to have said itself that it is in the new term.
+// A promotion writes no entry: until its first commit, the new primary's log position is of the former
+// term. A replica that still follows the former primary may cover that position with the former
+// primary's entries, which may differ from those of the new primary's log. A position of the new term
+// occurs in no other history. For a position of an earlier term, the replica's own status has to show
+// that it is in the new term.
 func (i *instance) sharesHistory(s staleness.Sample) bool {
 	return s.Position.Term >= s.PrimaryTerm || i.term >= s.PrimaryTerm
 }
 
-// termRequestAgeDivisor makes the pause between two questions whether a replica has joined grow with the time
-// since the reign began: a quarter of it. Most join within a tenth of a second; of one that
-// is cut off for long each host would ask twenty times a second.
+// termRequestAgeDivisor makes the interval between two term requests to a replica a quarter of the time
+// since the primary was confirmed. Most replicas enter the new term within a tenth of a second; without
+// it, each host would send 20 requests a second to a replica that is cut off for long.
 const termRequestAgeDivisor = 4
 
-// requestReplicaTerms asks the replicas whether they have joined the primary's term yet, while reads come that
-// need to know.
+// requestReplicaTerms requests the status of replicas that aren't known to have entered the primary's
+// term, while there are reads that need it.
 func (g *group) requestReplicaTerms(now time.Time) {
 	p, t, ok := g.primaryState.Primary()
 	if !ok || now.Sub(g.replicaReadAt) > sampleAfterRead {
--- a/core/relay/state.go
+++ b/core/relay/state.go
@@ -10,30 +10,31 @@
 	"skylarkdeal/core/fleet"
 )
 
-// State is what a relay knows and does, for the state dump.
+// State is a snapshot of a Relay, for the state dump.
 type State struct {
 	Catalog  catalog.Version `json:"catalog"`
 	Sessions int             `json:"sessions"`
-	// RecordsCurrent tells that no change of primary can have taken effect unknown to this host.
+	// RecordsCurrent is set if no promotion can have taken effect that this host has no record of.
 	RecordsCurrent bool `json:"certain"`
-	Coordinator    bool `json:"duty"`
-	CutOff         bool `json:"cut-off"`
-	Draining       bool `json:"drains"`
-	Hosts          int  `json:"hosts"`
-	// Evacuated are the data centres whose instances are left alone.
+	// Coordinator is set if this host is the failover coordinator.
+	Coordinator bool `json:"duty"`
+	CutOff      bool `json:"cut-off"`
+	Draining    bool `json:"drains"`
+	Hosts       int  `json:"hosts"`
+	// Evacuated are the data centres whose instances get no new operations.
 	Evacuated []fleet.DataCentre `json:"evacuated,omitempty"`
 	Peers     []fleet.Host       `json:"peers"`
 	Counts    Counters           `json:"counts"`
 	Groups    []GroupState       `json:"groups"`
 }
 
-// GroupState is what a relay knows of one service's instances.
+// GroupState is a snapshot of one service's group.
 type GroupState struct {
 	Service      fleet.Service  `json:"service"`
 	Primary      fleet.Instance `json:"primary"`
 	Term         fleet.Term     `json:"term"`
 	PrimaryKnown bool           `json:"settled"`
-	// UnavailableReason says why the primary can't answer, empty if it can.
+	// UnavailableReason is why the primary can't serve, empty if it can.
 	UnavailableReason   string          `json:"unable,omitempty"`
 	Waiting             int             `json:"waiting"`
 	Running             int             `json:"running"`
@@ -42,7 +43,7 @@
 	Instances           []InstanceState `json:"instances"`
 }
 
-// InstanceState is what a relay knows of one instance.
+// InstanceState is a snapshot of one instance. Holder is empty if this host uses its own connections.
 type InstanceState struct {
 	Instance    fleet.Instance    `json:"instance"`
 	Position    fleet.LogPosition `json:"point"`
@@ -55,12 +56,12 @@
 	SilentFor   time.Duration     `json:"silent"`
 }
 
-// State returns what the relay knows and does now.
+// State returns a snapshot of the relay, with peers, groups and instances in the order of their names.
 func (r *Relay) State() State {
 	now := r.now()
 	s := State{
-		Sessions: len(r.sessions), RecordsCurrent: r.lease.RecordsCurrent(now), Coordinator: r.duty.active, CutOff: r.CutOff(),
-		Draining: r.drain.on, Hosts: r.hosts, Counts: r.counts,
+		Sessions: len(r.sessions), RecordsCurrent: r.lease.RecordsCurrent(now), Coordinator: r.duty.active,
+		CutOff: r.CutOff(), Draining: r.drain.on, Hosts: r.hosts, Counts: r.counts,
 	}
 	if r.catalog != nil {
 		s.Catalog = r.catalog.Version
@@ -77,6 +78,7 @@
 	return s
 }
 
+// state returns a snapshot of the group.
 func (g *group) state(now time.Time) GroupState {
 	s := GroupState{
 		Service: g.name, UnavailableReason: g.unavailableReason(now), Waiting: len(g.waiting), Running: len(g.running),
@@ -89,8 +91,9 @@
 	for _, i := range g.instances {
 		p, _ := g.r.holder(i)
 		s.Instances = append(s.Instances, InstanceState{
-			Instance: i.info.Name, Position: i.position, Leaving: i.info.Leaving, Removed: i.removed, Suspected: i.suspected(now),
-			Holder: p.Host, Connections: len(i.conns), AvgLatency: i.avgLatency, SilentFor: now.Sub(i.lastHeard),
+			Instance: i.info.Name, Position: i.position, Leaving: i.info.Leaving, Removed: i.removed,
+			Suspected: i.suspected(now), Holder: p.Host, Connections: len(i.conns), AvgLatency: i.avgLatency,
+			SilentFor: now.Sub(i.lastHeard),
 		})
 	}
 	slices.SortFunc(s.Instances, func(a, b InstanceState) int { return cmp.Compare(a.Instance, b.Instance) })
--- a/core/relay/tick.go
+++ b/core/relay/tick.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// dialTimeout is how long a connection may take: five times what it does on a
-	// busy instance. To one that is silent otherwise too it may take quietFor.
+	// dialTimeout is how long a connection may take: five times as long as on a busy instance. If the
+	// instance is silent on other connections too, statusRequestTimeout applies.
 	dialTimeout = 400 * time.Millisecond
-	// primaryRequestInterval is how often an instance is asked whether it leads, while nobody does.
+	// primaryRequestInterval is the interval at which the designated primary is asked for its status while no
+	// primary is confirmed, and the least interval of other status requests.
 	primaryRequestInterval = 50 * time.Millisecond
-	// sampleMaxAge is the age from which on the newest point of the primary is asked for
-	// anew while reads come: the strictest callers accept 1.5 s.
+	// sampleMaxAge is the age at which the newest sample of the primary is refreshed while there are reads
+	// that a replica may serve. The strictest callers accept data that is 1.5 s old.
 	sampleMaxAge = 700 * time.Millisecond
-	// sampleAfterRead is how long after the last read that goes on.
+	// sampleAfterRead is how long after the last such read samples are still refreshed.
 	sampleAfterRead = 2 * time.Second
-	// statusRequestTimeout is how long a question that takes no slot may go unanswered before the
-	// connection counts as dead.
+	// statusRequestTimeout is how long a status request, or another statement that takes no slot, may go
+	// unanswered before the connection counts as dead.
 	statusRequestTimeout = 200 * time.Millisecond
 )
 
-// tick looks at all that depends on the time.
+// tick runs everything in the group that depends on the time.
 func (g *group) tick(now time.Time) {
 	if _, _, ok := g.primaryState.Primary(); ok {
 		g.unconfirmedSince = now
@@ -52,7 +53,7 @@
 	}
 }
 
-// expireWaiting refuses what waits and can't be served in time any more.
+// expireWaiting refuses waiting operations that can no longer be served in time.
 func (g *group) expireWaiting(now time.Time) {
 	for _, x := range g.queue.Expire(now) {
 		o := g.waiting[x.Item.Key]
@@ -73,6 +74,7 @@
 	}
 }
 
+// waitingInOrder returns the waiting operations, the oldest first.
 func (g *group) waitingInOrder() []*operation {
 	out := make([]*operation, 0, len(g.waiting))
 	for _, o := range g.waiting {
@@ -82,8 +84,9 @@
 	return out
 }
 
-// closeOverdue closes connections that took too long to make, or whose statement has reached
-// its time limit, or that owe an answer which takes the instance no time.
+// closeOverdue closes connections that take longer than dialTimeout to open, that have owed the answer to
+// a statement which takes no slot for longer than statusRequestTimeout, or whose operation has reached
+// its deadline.
 func (g *group) closeOverdue(now time.Time) {
 	for _, i := range g.instances {
 		for _, c := range slices.Clone(i.conns) {
@@ -91,8 +94,9 @@
 			case c.state == connDialling && now.Sub(c.since) > i.dialTimeout(now):
 				i.addFailure(now, "no answer to a new connection")
 				c.lost("no answer to a new connection")
-			case c.state == connBusy && len(c.owed) > 0 && takesNoSlot(c.owed[0].kind) && now.Sub(c.owed[0].asked) > statusRequestTimeout:
-				i.addFailure(now, "no answer to a question")
+			case c.state == connBusy && len(c.owed) > 0 && takesNoSlot(c.owed[0].kind) &&
+				now.Sub(c.owed[0].asked) > statusRequestTimeout:
+				i.addFailure(now, "no answer to a statement that takes no slot")
 				c.lost("no answer to a question")
 			}
 		}
@@ -105,16 +109,16 @@
 }
 
 const (
-	// probeAfter is how long an instance may be silent, with work on it, before it is
-	// asked whether it is there: most statements take less.
+	// probeAfter is how long an instance with pending statements may be silent before it is probed. Most
+	// statements take less.
 	probeAfter = 120 * time.Millisecond
-	// closeSilentAfter is how long an instance that was asked may stay silent before all its
-	// connections count as dead. A round trip takes 2 ms, and a question no slot.
+	// closeSilentAfter is how long an instance that has failed a probe may be silent before all its
+	// connections count as dead. A round trip takes 2 ms, and a status request takes no slot.
 	closeSilentAfter = 400 * time.Millisecond
 )
 
-// probeSilent looks after instances that have work and stay silent: one that has lost power,
-// or its network, resets no connection.
+// probeSilent probes instances that are silent with statements pending, and closes the connections of
+// those that stay silent. An instance that has lost power or its network resets no connection.
 func (g *group) probeSilent(now time.Time) {
 	for _, i := range g.instances {
 		if i.failures > 0 && !i.removed && !now.Before(i.nextDial) {
@@ -135,6 +139,7 @@
 	}
 }
 
+// dialTimeout returns how long a new connection to the instance may take.
 func (i *instance) dialTimeout(now time.Time) time.Duration {
 	if now.Sub(i.lastHeard) > probeAfter+statusRequestTimeout {
 		return statusRequestTimeout
@@ -142,7 +147,7 @@
 	return dialTimeout
 }
 
-// takesNoSlot reports whether an instance answers a statement without working for it.
+// takesNoSlot reports whether an instance answers a statement without a slot, that is at once.
 func takesNoSlot(k statement.Kind) bool {
 	switch k {
 	case statement.KindRead, statement.KindWrite, statement.KindCommit, statement.KindExecute, statement.KindStatus:
@@ -152,7 +157,7 @@
 	}
 }
 
-// requestAwaited asks the instances whose word is missing for a proof.
+// requestAwaited requests the status of the instances that a pending verification awaits.
 func (g *group) requestAwaited(now time.Time) {
 	for n, after := range g.pendingAnswers.Awaited() {
 		i := g.instances[n]
@@ -163,8 +168,7 @@
 	}
 }
 
-// requestStatus asks an instance what it is: over its holder, a connection that rests, or a
-// new one.
+// requestStatus requests an instance's status over its holder, an idle connection or a new one.
 func (g *group) requestStatus(now time.Time, i *instance) {
 	if p, ok := g.r.holder(i); ok {
 		if a, ok := g.anyAccount(); ok && p.Send != nil && now.Sub(i.askedAt) > statusRequestInterval {
@@ -176,8 +180,8 @@
 	g.probe(now, i)
 }
 
-// probe asks an instance by a connection of this host's own, whoever holds it else: to
-// learn whether this host can reach it.
+// probe requests an instance's status on a connection of this host's own, even if another host is its
+// holder, to find out whether this host can reach it.
 func (g *group) probe(now time.Time, i *instance) {
 	if c := i.resting(); c != nil {
 		i.askedAt = now
@@ -187,10 +191,11 @@
 	g.dialForRequest(now, i)
 }
 
-// statusRequestInterval spaces the questions over another host.
+// statusRequestInterval is the least interval of status requests to an instance over another host.
 const statusRequestInterval = 20 * time.Millisecond
 
-// dialForRequest makes a connection to an instance, if none is being made and there is room.
+// dialForRequest dials an instance for a status request, unless a dial is in progress or its pause or
+// connection limit forbids it.
 func (g *group) dialForRequest(now time.Time, i *instance) {
 	if now.Before(i.nextDial) || slices.ContainsFunc(i.conns, func(c *Conn) bool { return c.state == connDialling }) {
 		return
@@ -200,7 +205,7 @@
 	}
 }
 
-// peerStatusRequest is another host's question that waits for a connection.
+// peerStatusRequest is a status request of another host that waits for a connection.
 type peerStatusRequest struct {
 	i     *instance
 	term  fleet.Term
@@ -208,10 +213,11 @@
 	reply func(a statement.Answer)
 }
 
-// peerRequestTimeout bounds that wait; whoever asks needs the answer within a proof's time.
+// peerRequestTimeout bounds that wait. The requesting host needs the answer within verificationTimeout.
 const peerRequestTimeout = 150 * time.Millisecond
 
-// requestForPeer asks an instance for another host, or has it step down below a term.
+// requestForPeer requests an instance's status for another host, and has the instance step down if it is a
+// primary of a term below t.
 func (g *group) requestForPeer(n fleet.Instance, t fleet.Term, reply func(a statement.Answer)) {
 	now := g.r.now()
 	i := g.instances[n]
@@ -223,16 +229,19 @@
 		reply(unreachableAnswer("this host can't reach the instance"))
 		return
 	}
-	g.peerRequests = append(g.peerRequests, peerStatusRequest{i: i, term: t, until: now.Add(peerRequestTimeout), reply: reply})
+	g.peerRequests = append(g.peerRequests, peerStatusRequest{
+		i: i, term: t, until: now.Add(peerRequestTimeout), reply: reply,
+	})
 	g.sendPeerRequests(now)
 	g.r.hurry()
 }
 
+// unreachableAnswer returns the answer to a status request that could not be sent.
 func unreachableAnswer(reason string) statement.Answer {
 	return statement.Answer{Code: statement.CodeUnreachable, Detail: reason, State: statement.TxNone}
 }
 
-// sendPeerRequests puts the questions that wait to instances with a connection at rest.
+// sendPeerRequests sends the waiting status requests on idle connections, and answers those whose wait is over.
 func (g *group) sendPeerRequests(now time.Time) {
 	g.peerRequests = slices.DeleteFunc(g.peerRequests, func(q peerStatusRequest) bool {
 		if c := q.i.resting(); c != nil {
@@ -248,7 +257,7 @@
 	})
 }
 
-// checkDesignatedPrimary asks the instance that is to lead whether it does.
+// checkDesignatedPrimary requests the status of the designated primary until it is confirmed.
 func (g *group) checkDesignatedPrimary(now time.Time) {
 	if _, _, ok := g.primaryState.Primary(); ok || now.Sub(g.primaryAskedAt) < primaryRequestInterval {
 		return
@@ -261,7 +270,8 @@
 	g.requestStatus(now, i)
 }
 
-// refreshSample asks the primary for its point while reads come and nothing else tells it.
+// refreshSample requests the primary's status, whose answer carries its log position, while there are reads
+// and the newest sample is older than sampleMaxAge.
 func (g *group) refreshSample(now time.Time) {
 	if now.Sub(g.replicaReadAt) > sampleAfterRead {
 		return
