--- a/core/relay/warm.go
+++ b/core/relay/cold.go
@@ -8,9 +8,9 @@
 	"skylarkdeal/core/statement"
 )
 
-// announceTime is how long after an instance is back it may take until the store has its word, by
+// announceDelay is how long after an instance is back it may take until the store has its word, by
 // which it is told whether it is cold.
-const announceTime = 1500 * time.Millisecond
+const announceDelay = 1500 * time.Millisecond
 
 // isCold reports whether what is sent to the instance is bounded, as it has just started. One that
 // was lost and is back counts as cold until a reading of the list tells.
@@ -18,33 +18,33 @@
 	if i.g.service.ColdRate <= 0 {
 		return false
 	}
-	known := later(i.g.listedAt, i.g.r.confirmed)
-	return now.Before(i.coldUntil) || !i.back.IsZero() && known.Before(i.back.Add(announceTime))
+	known := later(i.g.listedAt, i.g.r.instancesConfirmedAt)
+	return now.Before(i.coldUntil) || !i.back.IsZero() && known.Before(i.back.Add(announceDelay))
 }
 
-// bears reports whether a new operation may be sent to the instance by this host's own connections.
-func (i *instance) bears(now time.Time) bool {
+// canStart reports whether a new operation may be sent to the instance by this host's own connections.
+func (i *instance) canStart(now time.Time) bool {
 	if !i.isCold(now) {
 		return true
 	}
-	_, begin := i.budget.Left(now, i.most())
+	_, begin := i.budget.Left(now, i.coldLimit())
 	return begin > 0 && i.g.r.maySendCold(i.info.DataCentre)
 }
 
-// bearsMore reports whether the next statement of a transaction that it runs may be sent.
-func (i *instance) bearsMore(now time.Time) bool {
+// canContinue reports whether the next statement of a transaction that it runs may be sent.
+func (i *instance) canContinue(now time.Time) bool {
 	if !i.isCold(now) {
 		return true
 	}
-	all, _ := i.budget.Left(now, i.most())
+	all, _ := i.budget.Left(now, i.coldLimit())
 	return all > 0
 }
 
-func (i *instance) most() int { return i.g.r.cfg.Cold.MaxStatements(i.g.service.ColdRate) }
+func (i *instance) coldLimit() int { return i.g.r.cfg.Cold.MaxStatements(i.g.service.ColdRate) }
 
-// spend counts what is sent to the instance while it is cold; questions of the host's own take no
+// countSent counts what is sent to the instance while it is cold; questions of the host's own take no
 // work.
-func (i *instance) spend(now time.Time, qs []statement.Statement) {
+func (i *instance) countSent(now time.Time, qs []statement.Statement) {
 	if !i.isCold(now) {
 		return
 	}
@@ -60,10 +60,10 @@
 // maySendCold reports whether this host hears enough others to be the one that sends to the cold
 // instances of a data centre.
 func (r *Relay) maySendCold(dc fleet.DataCentre) bool {
-	known, heard := r.members[dc], 0
+	known, heard := r.dataCentreSizes[dc], 0
 	all := known == 0
 	if all {
-		for _, n := range r.members {
+		for _, n := range r.dataCentreSizes {
 			known += n
 		}
 	}
@@ -79,7 +79,9 @@
 }
 
 // InstancesConfirmed takes in that the list of instances in use here was the store's at a moment.
-func (r *Relay) InstancesConfirmed(at time.Time) { r.confirmed = later(r.confirmed, at) }
+func (r *Relay) InstancesConfirmed(at time.Time) {
+	r.instancesConfirmedAt = later(r.instancesConfirmedAt, at)
+}
 
 // SetDataCentreSizes tells how many hosts each data centre has, heard or not, this one included.
-func (r *Relay) SetDataCentreSizes(by map[fleet.DataCentre]int) { r.members = by }
+func (r *Relay) SetDataCentreSizes(sizes map[fleet.DataCentre]int) { r.dataCentreSizes = sizes }
--- a/core/relay/conn.go
+++ b/core/relay/conn.go
@@ -37,31 +37,31 @@
 	// values and prepared are what the instance holds for the connection.
 	values   map[string]string
 	prepared map[string]bool
-	// spoilt is set once the instance has turned away what was to give the connection its values:
+	// dirty is set once the instance has turned away what was to give the connection its values:
 	// it holds others than are noted here, such as another session's, and is to be used by no one.
-	spoilt bool
-	// owed are the answers that haven't come, in order.
-	owed []owed
+	dirty bool
+	// pending are the answers that haven't come, in order.
+	pending []pendingReply
 	// op is the operation that the connection serves, session the one whose
 	// transaction it runs.
 	op      *operation
 	session *Session
-	// since is when the state began.
-	since time.Time
-	// offered is set while the group chooses which operation is to have it.
-	offered bool
+	// stateSince is when the state began.
+	stateSince time.Time
+	// reserved is set while the group chooses which operation is to have it.
+	reserved bool
 	// via is the other host that a connection runs over, empty for one of this host's own.
 	// stream names it there, and once tells that it ends with the next answer.
-	via          fleet.Host
-	stream       uint64
-	opened, once bool
+	via                            fleet.Host
+	streamID                       uint64
+	streamOpened, closesAfterReply bool
 }
 
-// owed is one answer that a connection owes.
-type owed struct {
-	kind  statement.Kind
-	own   bool
-	asked time.Time
+// pendingReply is one answer that a connection owes.
+type pendingReply struct {
+	kind     statement.Kind
+	proxyOwn bool
+	sentAt   time.Time
 	// done takes the answer; it may be nil.
 	done func(a statement.Answer)
 }
@@ -79,34 +79,34 @@
 // maxPrepared bounds the prepared statements of one connection.
 const maxPrepared = 512
 
-// setup returns the statements that give the connection the session's values and the
+// setupStatements returns the statements that give the connection the session's values and the
 // prepared statement p.
-func (c *Conn) setup(s *Session, p *prepared) []statement.Statement {
+func (c *Conn) setupStatements(s *Session, p *prepared) []statement.Statement {
 	var out []statement.Statement
-	drop := len(c.prepared) >= maxPrepared
+	discard := len(c.prepared) >= maxPrepared
 	for n := range c.values {
-		drop = drop || !slices.ContainsFunc(s.values, func(v value) bool { return v.name == n })
+		discard = discard || !slices.ContainsFunc(s.values, func(v value) bool { return v.name == n })
 	}
-	if drop {
+	if discard {
 		out = append(out, statement.Statement{Kind: statement.KindDiscard})
 	}
 	for _, v := range s.values {
-		if old, ok := c.values[v.name]; ok && old == v.value && !drop {
+		if old, ok := c.values[v.name]; ok && old == v.value && !discard {
 			continue
 		}
 		out = append(out, statement.Statement{ID: v.id, Kind: statement.KindSet, Name: v.name, Value: v.value})
 	}
-	if p != nil && (drop || !c.prepared[p.name]) {
+	if p != nil && (discard || !c.prepared[p.name]) {
 		out = append(out, statement.Statement{
-			ID: p.id, Kind: statement.KindPrepare, Name: p.name, Definition: p.shape,
+			ID: p.id, Kind: statement.KindPrepare, Name: p.name, Definition: p.definition,
 		})
 	}
 	return out
 }
 
-// applied notes what setup has done, and that the caller's own statements of it have
+// recordSetup notes what setup has done, and that the caller's own statements of it have
 // been forwarded: from now on they are repeated as the proxy's.
-func (c *Conn) applied(s *Session, p *prepared, qs []statement.Statement) {
+func (c *Conn) recordSetup(s *Session, p *prepared, qs []statement.Statement) {
 	for _, q := range qs {
 		switch q.Kind {
 		case statement.KindDiscard:
@@ -120,14 +120,14 @@
 		}
 	}
 	for n := range s.values {
-		s.values[n].id = forwarded(s.values[n].id, qs)
+		s.values[n].id = unsentID(s.values[n].id, qs)
 	}
 	if p != nil {
-		p.id = forwarded(p.id, qs)
+		p.id = unsentID(p.id, qs)
 	}
 }
 
-func forwarded(id statement.ID, qs []statement.Statement) statement.ID {
+func unsentID(id statement.ID, qs []statement.Statement) statement.ID {
 	if slices.ContainsFunc(qs, func(q statement.Statement) bool { return q.ID == id }) {
 		return ""
 	}
@@ -140,19 +140,19 @@
 	now := c.g.r.now()
 	if c.via != "" {
 		// The other host answers the last one only.
-		c.owed = append(c.owed, owed{kind: qs[len(qs)-1].Kind, asked: now, done: done})
+		c.pending = append(c.pending, pendingReply{kind: qs[len(qs)-1].Kind, sentAt: now, done: done})
 		c.Send(qs)
 		return
 	}
 	for n, q := range qs {
-		o := owed{kind: q.Kind, own: q.ID == "", asked: now, done: each}
+		o := pendingReply{kind: q.Kind, proxyOwn: q.ID == "", sentAt: now, done: each}
 		if n == len(qs)-1 {
 			o.done = done
 		}
-		if o.own {
-			c.g.r.counts.OwnStatements++
+		if o.proxyOwn {
+			c.g.r.counters.OwnStatements++
 		}
-		c.owed = append(c.owed, o)
+		c.pending = append(c.pending, o)
 	}
 	c.Send(qs)
 }
@@ -162,7 +162,7 @@
 	if c.state != connDialling {
 		return
 	}
-	dialled := c.since
+	dialled := c.stateSince
 	c.setState(connIdle)
 	c.inst.heard(r.now())
 	if c.inst.lost {
@@ -170,7 +170,7 @@
 	}
 	c.inst.crowded = 0
 	c.g.evidence(c, dialled, a)
-	c.g.pump()
+	c.g.dispatch()
 }
 
 // HandleAnswer takes in the next answer on a connection.
@@ -178,20 +178,20 @@
 	if c.state == connClosed {
 		return
 	}
-	if len(c.owed) == 0 {
-		c.lost("an answer that nobody asked for")
+	if len(c.pending) == 0 {
+		c.handleClose("an answer that nobody asked for")
 		return
 	}
-	o := c.owed[0]
-	c.owed = c.owed[1:]
+	o := c.pending[0]
+	c.pending = c.pending[1:]
 	if c.via == "" {
 		c.inst.heard(r.now())
 	}
-	c.g.evidence(c, o.asked, a)
+	c.g.evidence(c, o.sentAt, a)
 	if o.done != nil {
 		o.done(a)
 	}
-	c.g.pump()
+	c.g.dispatch()
 }
 
 // ConnectRefused takes in that the instance has refused the connection.
@@ -199,12 +199,12 @@
 	if c.state == connClosed {
 		return
 	}
-	c.inst.turned(r.now(), c.since, code)
+	c.inst.turned(r.now(), c.stateSince, code)
 	r.note(Event{
 		Kind: EventInstance, Service: c.Service, Instance: c.Instance, Account: c.Account,
 		Choice: "connection refused", Reason: detail, Code: code,
 	})
-	c.lost("refused")
+	c.handleClose("refused")
 }
 
 // ConnClosed takes in that the connection has ended or couldn't be made.
@@ -212,32 +212,32 @@
 	if c.state == connClosed {
 		return
 	}
-	why := "closed by the instance"
+	reason := "closed by the instance"
 	if err != nil {
-		why = err.Error()
+		reason = err.Error()
 	}
-	if c.state == connDialling || len(c.owed) > 0 && !c.inst.heardLately(r.now()) {
-		c.inst.failed(r.now(), why)
+	if c.state == connDialling || len(c.pending) > 0 && !c.inst.heardLately(r.now()) {
+		c.inst.failed(r.now(), reason)
 	}
-	c.lost(why)
+	c.handleClose(reason)
 	c.inst.lost = c.inst.lost || len(c.inst.conns) == 0
 }
 
-// lost closes the connection and settles what ran on it.
-func (c *Conn) lost(why string) {
+// handleClose closes the connection and settles what ran on it.
+func (c *Conn) handleClose(reason string) {
 	if c.state == connClosed {
 		return
 	}
 	c.setState(connClosed)
 	c.inst.remove(c)
 	if c.via != "" {
-		delete(c.g.r.forwarding.virtual, c.stream)
+		delete(c.g.r.forwarding.forwardedConns, c.streamID)
 		c.inst.lent--
 	}
 	if c.Close != nil {
 		c.Close()
 	}
-	c.owed = nil
+	c.pending = nil
 	op, s := c.op, c.session
 	c.op, c.session = nil, nil
 	if s != nil && s.tx.conn == c {
@@ -245,15 +245,15 @@
 		s.tx.failed = true
 	}
 	if op != nil {
-		op.cut(why)
+		op.cut(reason)
 	}
-	c.g.pump()
+	c.g.dispatch()
 }
 
 // retire closes a connection that nothing runs on.
 func (c *Conn) retire() {
 	c.op, c.session = nil, nil
-	c.lost("retired")
+	c.handleClose("retired")
 }
 
 // free gives the connection back once no transaction is open on it.
@@ -262,7 +262,7 @@
 	if c.state == connClosed {
 		return
 	}
-	if c.inst.gone || c.via != "" || c.spoilt {
+	if c.inst.gone || c.via != "" || c.dirty {
 		c.retire()
 		return
 	}
@@ -275,11 +275,11 @@
 	if c.state == connClosed {
 		return
 	}
-	if c.via != "" || len(c.owed) > 0 || c.inst.closed(c.g.r.now()) {
+	if c.via != "" || len(c.pending) > 0 || c.inst.evacuationExpired(c.g.r.now()) {
 		// The other host rolls back when the stream ends, and the instance, which may still
 		// work on a statement or is to be sent nothing, when the connection does.
 		c.op = nil
-		c.lost("given up in a transaction")
+		c.handleClose("given up in a transaction")
 		return
 	}
 	c.send([]statement.Statement{{Kind: statement.KindRollback}}, nil, func(a statement.Answer) {
@@ -291,16 +291,16 @@
 	})
 }
 
-// ask has the instance say what it is. It takes no slot: an order to step down below
+// requestStatus has the instance say what it is. It takes no slot: an order to step down below
 // term 1 changes nothing and is answered with the status.
-func (c *Conn) ask() { c.stepDown(0, nil) }
+func (c *Conn) requestStatus() { c.stepDown(0, nil) }
 
 // stepDown has a primary of a term below t step down, and tells what the instance says of
 // itself then; reply, which may be nil, takes its answer.
 func (c *Conn) stepDown(t fleet.Term, reply func(a statement.Answer)) {
-	c.g.r.counts.Asked++
+	c.g.r.counters.Asked++
 	c.setState(connBusy)
-	asked := c.since
+	asked := c.stateSince
 	q := statement.Statement{Kind: statement.KindStepDown, Term: t}
 	c.send([]statement.Statement{q}, nil, func(a statement.Answer) {
 		c.g.told(c, asked, a)
@@ -317,5 +317,5 @@
 }
 
 func (c *Conn) setState(s connState) {
-	c.state, c.since = s, c.g.r.now()
+	c.state, c.stateSince = s, c.g.r.now()
 }
--- a/core/relay/duty.go
+++ b/core/relay/duty.go
@@ -124,7 +124,7 @@
 			if i == nil || i.gone || now.Sub(i.lastHeard) <= wonderAfter || now.Sub(i.askedAt) <= wonderAfter {
 				continue
 			}
-			if r.witness(i) && !i.spared(now) {
+			if r.isProber(i) && !i.leavesProbeToHolder(now) {
 				g.probe(now, i)
 			}
 		}
@@ -213,7 +213,7 @@
 	for _, i := range g.instances {
 		m := leader.InstanceInfo{
 			Name: i.info.Name, Leaving: i.info.Leaving || i.evacuated(), Gone: i.gone,
-			Cold: i.isCold(now), OutsideRegion: g.abroad(i),
+			Cold: i.isCold(now), OutsideRegion: g.outsideRegion(i),
 			Reachable: i.failures == 0 && !i.toldAt.Before(g.surveyed), Received: i.received,
 			Leads: i.leads, Term: i.term, UnreachableFor: now.Sub(i.doubted),
 		}
@@ -270,7 +270,7 @@
 	})
 	a, ok := g.anyAccount()
 	if p, over := r.holder(i); over && ok && p.Send != nil {
-		i.over(p, a).stepDown(o.Term, nil)
+		i.connVia(p, a).stepDown(o.Term, nil)
 		return
 	}
 	g.inquire(o.Former, o.Term, func(statement.Answer) {})
--- a/core/relay/evacuation.go
+++ b/core/relay/evacuation.go
@@ -7,20 +7,20 @@
 	"skylarkdeal/core/fleet"
 )
 
-// evacuatePart is the part of the time for an evacuation that this host takes from when it learns of
+// evacuationDivisor is the part of the time for an evacuation that this host takes from when it learns of
 // it: a half. The other half is for learning of it.
-const evacuatePart = 2
+const evacuationDivisor = 2
 
-// defaultEvacuate is the time for an evacuation where no other is set.
-const defaultEvacuate = 5 * time.Second
+// defaultEvacuationTimeout is the time for an evacuation where no other is set.
+const defaultEvacuationTimeout = 5 * time.Second
 
-// evacuate takes in which data centres are to be left alone.
+// setEvacuated takes in which data centres are to be left alone.
 //
 // The load it is made for: operators who empty a data centre at full load. Reads move at once, as
 // replicas elsewhere have what they need. A primary goes on until another is promoted, and open
 // transactions get as long, but neither longer than the limit: then what only that instance could
 // run is refused.
-func (r *Relay) evacuate(c *catalog.Catalog) {
+func (r *Relay) setEvacuated(c *catalog.Catalog) {
 	now := r.now()
 	if r.evacuated == nil {
 		r.evacuated = map[fleet.DataCentre]time.Time{}
@@ -36,11 +36,11 @@
 			continue
 		}
 		r.evacuated[dc] = now
-		why := "operators evacuate the data centre"
+		reason := "operators evacuate the data centre"
 		if !r.hasInstances(dc) {
-			why += "; no instance is known there"
+			reason += "; no instance is known there"
 		}
-		r.note(Event{Kind: EventInstance, DataCentre: dc, Choice: "no new work", Reason: why})
+		r.note(Event{Kind: EventInstance, DataCentre: dc, Choice: "no new work", Reason: reason})
 	}
 }
 
@@ -61,25 +61,25 @@
 	return ok
 }
 
-// closed reports whether the instance is to be sent nothing at all any more.
-func (i *instance) closed(now time.Time) bool {
+// evacuationExpired reports whether the instance is to be sent nothing at all any more.
+func (i *instance) evacuationExpired(now time.Time) bool {
 	since, ok := i.g.r.evacuated[i.info.DataCentre]
-	return ok && now.Sub(since) >= i.g.r.evacuateWithin()
+	return ok && now.Sub(since) >= i.g.r.evacuationTimeout()
 }
 
-// open reports whether new operations may be sent to the instance, as far as evacuations go: a
+// acceptsNew reports whether new operations may be sent to the instance, as far as evacuations go: a
 // primary goes on for a while.
-func (i *instance) open(now time.Time) bool {
-	return !i.evacuated() || i.g.leads(i.info.Name) && !i.closed(now)
+func (i *instance) acceptsNew(now time.Time) bool {
+	return !i.evacuated() || i.g.leads(i.info.Name) && !i.evacuationExpired(now)
 }
 
-// evacuateWithin is how long after it has learnt of an evacuation this host may still send.
-func (r *Relay) evacuateWithin() time.Duration {
+// evacuationTimeout is how long after it has learnt of an evacuation this host may still send.
+func (r *Relay) evacuationTimeout() time.Duration {
 	d := r.cfg.EvacuationTimeout
 	if d <= 0 {
-		d = defaultEvacuate
+		d = defaultEvacuationTimeout
 	}
-	return d / evacuatePart
+	return d / evacuationDivisor
 }
 
 // tickEvacuations ends the transactions that rest on instances which are to be sent nothing any
@@ -89,21 +89,21 @@
 		return
 	}
 	for s := range r.sessions {
-		s.leaveEvacuated(now)
+		s.endEvacuatedTransaction(now)
 	}
-	for _, s := range r.forwarding.guests {
-		s.leaveEvacuated(now)
+	for _, s := range r.forwarding.inboundSessions {
+		s.endEvacuatedTransaction(now)
 	}
 }
 
-func (s *Session) leaveEvacuated(now time.Time) {
+func (s *Session) endEvacuatedTransaction(now time.Time) {
 	c := s.tx.conn
-	if c == nil || s.op != nil || !c.inst.closed(now) {
+	if c == nil || s.op != nil || !c.inst.evacuationExpired(now) {
 		return
 	}
 	s.r.note(Event{
 		Kind: EventSession, Database: s.database, Account: s.account, Service: c.Service, Instance: c.Instance,
 		DataCentre: c.inst.info.DataCentre, Choice: "end the transaction", Reason: "its data centre is evacuated",
 	})
-	s.fail()
+	s.failTransaction()
 }
--- a/core/relay/group.go
+++ b/core/relay/group.go
@@ -116,7 +116,7 @@
 		}
 	}
 	g.belief.SetInstances(is)
-	g.pump()
+	g.dispatch()
 }
 
 func (g *group) noteInstance(i *instance, choice, why string) {
--- a/core/relay/instance.go
+++ b/core/relay/instance.go
@@ -130,7 +130,7 @@
 			// It was begun beside another that was refused, and tells nothing new.
 			return
 		}
-		i.full, i.room = now, i.standing()
+		i.full, i.room = now, i.openConns()
 		i.next = now.Add(min(crowdPause<<min(i.crowded, 10), crowdPauseMax))
 		i.crowded++
 	case statement.CodeMisrouted:
@@ -145,7 +145,7 @@
 // lacked takes in that the log lacks a point that a read needs. A replica that is far
 // behind would else be asked in vain by every read, while its caller waits.
 func (i *instance) lacked(now time.Time) {
-	i.behind = now.Add(min(lagPause<<min(i.lags, 10), lagPauseMax))
+	i.behind = now.Add(min(lagBackoffMin<<min(i.lags, 10), lagBackoffMax))
 	i.lags++
 }
 
@@ -168,7 +168,7 @@
 		i.blocked = map[fleet.Host]time.Time{}
 	}
 	i.blocked[h] = now.Add(blockedFor)
-	if now.Sub(i.lastHeard) > wonderAfter && !i.spared(now) {
+	if now.Sub(i.lastHeard) > wonderAfter && !i.leavesProbeToHolder(now) {
 		i.g.probe(now, i)
 	}
 }
@@ -194,8 +194,8 @@
 func (i *instance) working(now time.Time) time.Duration {
 	oldest := time.Duration(0)
 	for _, c := range i.conns {
-		if len(c.owed) > 0 {
-			oldest = max(oldest, now.Sub(c.owed[0].asked))
+		if len(c.pending) > 0 {
+			oldest = max(oldest, now.Sub(c.pending[0].sentAt))
 		}
 	}
 	return oldest
--- a/core/relay/operation.go
+++ b/core/relay/operation.go
@@ -13,78 +13,78 @@
 
 // operation is one statement on its way to an instance and back.
 type operation struct {
-	s     *Session
-	g     *group
-	q     statement.Statement
-	prep  *prepared
-	route catalog.Route
-	key   uint64
+	s        *Session
+	g        *group
+	q        statement.Statement
+	prepared *prepared
+	route    catalog.Route
+	key      uint64
 	// writes is set for what may change data, and is sent at most once.
 	writes bool
-	// lead is set for what only the primary can answer.
-	lead bool
-	// opens is set for the first statement of a transaction.
-	opens bool
+	// needsPrimary is set for what only the primary can answer.
+	needsPrimary bool
+	// beginsTx is set for the first statement of a transaction.
+	beginsTx bool
 
-	asked, deadline time.Time
-	homes           homes
-	// age is the moment before which acknowledged commits have to be shown by a read.
-	age   time.Time
-	tries int
-	avoid fleet.Set[fleet.Instance]
+	startedAt, deadline time.Time
+	regions             allowedRegions
+	// asOf is the moment before which acknowledged commits have to be shown by a read.
+	asOf     time.Time
+	attempts int
+	excluded fleet.Set[fleet.Instance]
 
-	// conn runs the operation, dial is being made for it.
-	conn, dial *Conn
+	// conn runs the operation, dialling is being made for it.
+	conn, dialling *Conn
 	// sent is set once the statement itself has been handed to the instance, at sentAt.
 	sent   bool
 	sentAt time.Time
-	// ran is set once it was sent to any instance.
-	ran bool
-	// after is the point that the read was sent with.
-	after fleet.Option[fleet.LogPosition]
-	// answer waits for its proof.
-	answer *statement.Answer
-	// over is set once the caller has its answer.
-	over bool
+	// everSent is set once it was sent to any instance.
+	everSent bool
+	// requiredPosition is the point that the read was sent with.
+	requiredPosition fleet.Option[fleet.LogPosition]
+	// unverifiedAnswer waits for its proof.
+	unverifiedAnswer *statement.Answer
+	// finished is set once the caller has its answer.
+	finished bool
 }
 
-// maxTries bounds how often one statement is sent off. Three instances and one more
+// maxAttempts bounds how often one statement is sent off. Three instances and one more
 // try after a change of primary are all there is to try.
-const maxTries = 6
+const maxAttempts = 6
 
 func newOperation(s *Session, q statement.Statement, p *prepared) *operation {
 	now := s.r.now()
 	o := &operation{
-		s: s, q: q, prep: p, route: s.route, key: s.r.nextKey(), asked: now,
-		g: s.r.group(s.route.Service), avoid: fleet.NewSet[fleet.Instance](),
+		s: s, q: q, prepared: p, route: s.route, key: s.r.nextKey(), startedAt: now,
+		g: s.r.group(s.route.Service), excluded: fleet.NewSet[fleet.Instance](),
 	}
 	o.deadline = now.Add(s.route.Timeout)
 	o.writes = q.Kind == statement.KindWrite || q.Kind == statement.KindCommit ||
-		p != nil && p.shape.Writes
-	o.opens = s.tx.open && s.tx.conn == nil
+		p != nil && p.definition.Writes
+	o.beginsTx = s.tx.open && s.tx.conn == nil
 	reads := !o.writes
-	began := now
+	startedAt := now
 	if s.tx.open {
-		reads, began = s.tx.read, s.tx.asked
+		reads, startedAt = s.tx.read, s.tx.begunAt
 	}
-	o.lead = s.instance != "" || !reads || s.route.Consistency == catalog.ConsistencyPrimary
-	o.age = began
+	o.needsPrimary = s.boundInstance != "" || !reads || s.route.Consistency == catalog.ConsistencyPrimary
+	o.asOf = startedAt
 	if s.route.Consistency != catalog.ConsistencyPrimary {
-		o.age = began.Add(-s.route.MaxAge)
+		o.asOf = startedAt.Add(-s.route.MaxAge)
 	}
 	if p != nil {
 		o.q.Name = p.name
 	}
-	o.homes.route = s.route.AllowedRegions
+	o.regions.route = s.route.AllowedRegions
 	if s.r.catalog != nil {
-		o.homes.account = s.r.catalog.Accounts[s.account].AllowedRegions
+		o.regions.account = s.r.catalog.Accounts[s.account].AllowedRegions
 	}
-	if s.instance != "" {
+	if s.boundInstance != "" {
 		// The host that asks has seen to its homes.
-		o.homes = homes{}
-		o.after = q.After
+		o.regions = allowedRegions{}
+		o.requiredPosition = q.After
 		if s.tx.open {
-			o.after = s.tx.after
+			o.requiredPosition = s.tx.requiredPosition
 		}
 	}
 	return o
@@ -92,11 +92,11 @@
 
 // start sends the operation off, or has it wait for a connection.
 func (o *operation) start() {
-	o.s.op, o.s.turned = o, false
+	o.s.op, o.s.lastRefused = o, false
 	if c := o.s.tx.conn; o.s.tx.open && c != nil {
-		if why := o.barred(c); why != "" {
-			o.s.fail()
-			o.refuse(statement.CodeAborted, "rolled back: "+why, retrySoon)
+		if reason := o.blockedReason(c); reason != "" {
+			o.s.failTransaction()
+			o.refuse(statement.CodeAborted, "rolled back: "+reason, retrySoon)
 			return
 		}
 		o.conn = c
@@ -105,37 +105,37 @@
 		o.execute()
 		return
 	}
-	o.wait()
+	o.enqueue()
 }
 
-// barred says why the next statement of a transaction may not be sent on the connection that runs it;
+// blockedReason says why the next statement of a transaction may not be sent on the connection that runs it;
 // nothing if it may.
-func (o *operation) barred(c *Conn) string {
+func (o *operation) blockedReason(c *Conn) string {
 	now := o.g.r.now()
 	switch {
-	case c.inst.closed(now):
+	case c.inst.evacuationExpired(now):
 		return "its data centre is evacuated"
-	case c.via == "" && !c.inst.bearsMore(now):
+	case c.via == "" && !c.inst.canContinue(now):
 		return "its instance has just started and bears no more"
 	default:
 		return ""
 	}
 }
 
-// wait queues the operation.
-func (o *operation) wait() {
+// enqueue queues the operation.
+func (o *operation) enqueue() {
 	now := o.g.r.now()
-	if why, after := o.g.hopeless(now, o); why != "" {
+	if reason, retryAfter := o.g.hopeless(now, o); reason != "" {
 		code := statement.CodeBusy
-		if i := o.g.instances[o.s.instance]; o.s.instance != "" && (i == nil || i.open(now)) {
+		if i := o.g.instances[o.s.boundInstance]; o.s.boundInstance != "" && (i == nil || i.acceptsNew(now)) {
 			code = statement.CodeUnreachable
 		}
-		o.refuse(code, why, after)
+		o.refuse(code, reason, retryAfter)
 		return
 	}
-	o.sent, o.conn, o.dial = false, nil, nil
+	o.sent, o.conn, o.dialling = false, nil, nil
 	v := o.g.queue.Enqueue(now, admit.Item{
-		Key: o.key, Account: o.s.account, Weight: o.weight(), Deadline: o.patience(),
+		Key: o.key, Account: o.s.account, Weight: o.queueWeight(), Deadline: o.waitDeadline(),
 		Intent: o.intent(),
 	})
 	if v.Refusal != nil {
@@ -143,13 +143,13 @@
 		return
 	}
 	o.g.waiting[o.key] = o
-	o.g.pump()
-	if !o.over && o.conn == nil {
-		o.g.r.hurry()
+	o.g.dispatch()
+	if !o.finished && o.conn == nil {
+		o.g.r.requestTick()
 	}
 }
 
-// waitTargets is how many times its route's target an operation may wait for its turn.
+// maxWaitTargets is how many times its route's target an operation may wait for its turn.
 //
 // It is made for more work than the instances can do: replicas far behind and all reads
 // on the primary, or a burst. What has waited for longer is late for its caller
@@ -157,14 +157,14 @@
 // instead, while there is time. With both replicas behind, a burst and a flood, callers
 // got 0.871 of what they were owed, 0.831 with twice the target (means of three runs), and
 // less with four times.
-const waitTargets = 1
+const maxWaitTargets = 1
 
-// patience is until when the operation may wait for its turn.
-func (o *operation) patience() time.Time {
+// waitDeadline is until when the operation may wait for its turn.
+func (o *operation) waitDeadline() time.Time {
 	if o.route.Target <= 0 {
 		return o.deadline
 	}
-	until := o.asked.Add(waitTargets * o.route.Target)
+	until := o.startedAt.Add(maxWaitTargets * o.route.Target)
 	if until.Before(o.deadline) {
 		return until
 	}
@@ -172,27 +172,27 @@
 }
 
 func (o *operation) intent() exchange.Intent {
-	if o.lead {
+	if o.needsPrimary {
 		return exchange.IntentWrite
 	}
 	return exchange.IntentRead
 }
 
-// weight is the account's share of a queue against the others': its rate.
-func (o *operation) weight() float64 {
+// queueWeight is the account's share of a queue against the others': its rate.
+func (o *operation) queueWeight() float64 {
 	if c := o.g.r.catalog; c != nil {
 		return max(c.Accounts[o.s.account].Rate, 1)
 	}
 	return 1
 }
 
-// run takes the connection that was found.
-func (o *operation) run(c *Conn) {
+// runOn takes the connection that was found.
+func (o *operation) runOn(c *Conn) {
 	delete(o.g.waiting, o.key)
 	o.g.running[o.key] = o
 	o.conn = c
-	o.tries++
-	if s, ok := o.need(); ok && !c.inst.point.Covers(s.Position) {
+	o.attempts++
+	if s, ok := o.replicaRequirement(); ok && !c.inst.point.Covers(s.Position) {
 		c.inst.trial = o
 	}
 	c.setState(connBusy)
@@ -211,27 +211,27 @@
 // prepared statement refuses to run it.
 func (o *operation) execute() {
 	c := o.conn
-	qs := c.setup(o.s, o.prep)
-	c.applied(o.s, o.prep, qs)
-	if o.s.instance == "" {
-		s, ok := o.need()
-		if !ok && !o.unbound() {
+	qs := c.setupStatements(o.s, o.prepared)
+	c.recordSetup(o.s, o.prepared, qs)
+	if o.s.boundInstance == "" {
+		s, ok := o.replicaRequirement()
+		if !ok && !o.anyPosition() {
 			// Nothing tells any more which point the log has to cover.
-			o.unready(statement.CodeLagging, statement.TxNone)
+			o.setupFailed(statement.CodeLagging, statement.TxNone)
 			return
 		}
-		o.after = fleet.Option[fleet.LogPosition]{}
+		o.requiredPosition = fleet.Option[fleet.LogPosition]{}
 		if ok {
-			o.after = fleet.Some(s.Position)
+			o.requiredPosition = fleet.Some(s.Position)
 		}
 	}
 	sets := len(qs)
-	if o.opens {
-		qs = append(qs, o.beginning())
+	if o.beginsTx {
+		qs = append(qs, o.beginStatement())
 	}
-	if !needsAnswer(qs) || c.via != "" {
+	if !needsReply(qs) || c.via != "" {
 		// Another host sees to the order itself.
-		o.main(qs)
+		o.sendStatement(qs)
 		return
 	}
 	failed, answered := statement.CodeNone, 0
@@ -243,7 +243,7 @@
 		if failed == statement.CodeNone {
 			failed = a.Code
 		}
-		c.spoilt = c.spoilt || answered <= sets
+		c.dirty = c.dirty || answered <= sets
 	}
 	c.send(qs, each, func(a statement.Answer) {
 		each(a)
@@ -251,14 +251,14 @@
 			return
 		}
 		if failed != statement.CodeNone {
-			o.unready(failed, a.State)
+			o.setupFailed(failed, a.State)
 			return
 		}
-		o.main(nil)
+		o.sendStatement(nil)
 	})
 }
 
-func needsAnswer(qs []statement.Statement) bool {
+func needsReply(qs []statement.Statement) bool {
 	for _, q := range qs {
 		if q.Kind != statement.KindPrepare {
 			return true
@@ -267,60 +267,60 @@
 	return false
 }
 
-func (o *operation) beginning() statement.Statement {
-	b := statement.Statement{ID: o.s.tx.begin, Kind: statement.KindBegin, After: o.after}
+func (o *operation) beginStatement() statement.Statement {
+	b := statement.Statement{ID: o.s.tx.beginID, Kind: statement.KindBegin, After: o.requiredPosition}
 	if o.s.tx.read {
 		b.Kind = statement.KindBeginRead
 	}
 	return b
 }
 
-// unbound reports whether the instance may run the operation wherever its log ends.
-func (o *operation) unbound() bool { return o.lead || o.g.leads(o.conn.Instance) }
+// anyPosition reports whether the instance may run the operation wherever its log ends.
+func (o *operation) anyPosition() bool { return o.needsPrimary || o.g.leads(o.conn.Instance) }
 
-// need is the point that the instance's log has to cover, for a read on a replica, and whether
+// replicaRequirement is the point that the instance's log has to cover, for a read on a replica, and whether
 // there is one.
-func (o *operation) need() (staleness.Sample, bool) {
-	if o.unbound() {
+func (o *operation) replicaRequirement() (staleness.Sample, bool) {
+	if o.anyPosition() {
 		return staleness.Sample{}, false
 	}
-	return o.g.needs(o)
+	return o.g.requiredSample(o)
 }
 
-// main sends the statement itself, behind ahead.
-func (o *operation) main(ahead []statement.Statement) {
+// sendStatement sends the statement itself, behind ahead.
+func (o *operation) sendStatement(ahead []statement.Statement) {
 	q := o.q
 	if !o.s.tx.open {
-		q.After = o.after
+		q.After = o.requiredPosition
 	}
 	o.sent, o.sentAt = true, o.g.r.now()
-	if _, ok := o.after.Get(); ok && o.s.instance == "" && o.g.changing(o.sentAt) {
-		o.note(EventPlace, "read a replica", "its log is to cover the point", statement.CodeNone)
+	if _, ok := o.requiredPosition.Get(); ok && o.s.boundInstance == "" && o.g.changing(o.sentAt) {
+		o.logEvent(EventPlace, "read a replica", "its log is to cover the point", statement.CodeNone)
 	}
-	o.ran, o.s.tx.ran = true, true
+	o.everSent, o.s.tx.mayHaveRun = true, true
 	if o.s.tx.open {
 		o.s.tx.conn = o.conn
-		o.s.tx.writes = o.s.tx.writes || o.writes && q.Kind != statement.KindCommit
+		o.s.tx.mayHaveWritten = o.s.tx.mayHaveWritten || o.writes && q.Kind != statement.KindCommit
 	}
 	ahead = append(ahead, q)
 	if o.conn.via == "" {
-		o.conn.inst.spend(o.sentAt, ahead)
+		o.conn.inst.countSent(o.sentAt, ahead)
 	}
 	o.conn.send(ahead, nil, o.answered)
 }
 
-// unready handles a connection that could not be made ready: nothing was run. One on
+// setupFailed handles a connection that could not be made ready: nothing was run. One on
 // which a transaction had begun is left to it.
-func (o *operation) unready(code statement.Code, state statement.TxState) {
+func (o *operation) setupFailed(code statement.Code, state statement.TxState) {
 	c := o.conn
 	o.g.refusedBy(c, code, o)
 	c.op = nil
-	if !o.begun() {
+	if !o.txBegun() {
 		c.session = nil
-		well := code == statement.CodeLagging || code == statement.CodeReadOnly || code == statement.CodeBusy
-		c.retireUnless(well && state == statement.TxNone)
+		reusable := code == statement.CodeLagging || code == statement.CodeReadOnly || code == statement.CodeBusy
+		c.freeIf(reusable && state == statement.TxNone)
 	}
-	if o.s.instance != "" && !o.begun() && code.NotRun() {
+	if o.s.boundInstance != "" && !o.txBegun() && code.NotRun() {
 		// Only the host that asks can choose another instance.
 		o.leave(o.g.r.now(), 0)
 		o.refuse(code, "the instance has turned it away", retrySoon)
@@ -329,31 +329,31 @@
 	o.again(code)
 }
 
-// begun reports whether an instance has run any of the operation's transaction before it.
-func (o *operation) begun() bool { return o.s.tx.open && !o.opens }
+// txBegun reports whether an instance has run any of the operation's transaction before it.
+func (o *operation) txBegun() bool { return o.s.tx.open && !o.beginsTx }
 
-// retireUnless frees a connection whose last answer tells that all is well with it, and
+// freeIf frees a connection whose last answer tells that all is well with it, and
 // closes any other.
-func (c *Conn) retireUnless(well bool) {
-	if well {
+func (c *Conn) freeIf(reusable bool) {
+	if reusable {
 		c.free()
 		return
 	}
 	c.retire()
 }
 
-func (o *operation) note(k EventKind, choice, why string, code statement.Code) {
+func (o *operation) logEvent(k EventKind, choice, reason string, code statement.Code) {
 	e := Event{
 		Kind: k, ID: o.q.ID, Database: o.route.Database, Service: o.g.name, Account: o.s.account,
-		Choice: choice, Reason: why, Code: code, Took: o.g.r.now().Sub(o.asked), Consistency: o.route.Consistency,
+		Choice: choice, Reason: reason, Code: code, Took: o.g.r.now().Sub(o.startedAt), Consistency: o.route.Consistency,
 	}
 	if o.conn != nil {
 		e.Instance, e.InstancePoint = o.conn.Instance, o.conn.inst.point
 	}
-	if p, ok := o.after.Get(); ok {
+	if p, ok := o.requiredPosition.Get(); ok {
 		e.RequiredPoint = p
 	}
-	if s, ok := o.g.samples.Oldest(o.age); ok && k == EventPlace {
+	if s, ok := o.g.samples.Oldest(o.asOf); ok && k == EventPlace {
 		e.Age = o.g.r.now().Sub(s.AskedAt)
 	}
 	if o.conn != nil {
--- a/core/relay/outcome.go
+++ b/core/relay/outcome.go
@@ -24,8 +24,8 @@
 	}
 	o.g.refusedBy(c, a.Code, o)
 	// What was to be prepared ahead of it was turned away.
-	c.spoilt = c.spoilt || a.Code == statement.CodeNotPrepared
-	if o.opens && c.via != "" && a.Code.NotRun() {
+	c.dirty = c.dirty || a.Code == statement.CodeNotPrepared
+	if o.beginsTx && c.via != "" && a.Code.NotRun() {
 		// The other host has not begun the transaction, or has rolled it back.
 		o.s.tx.conn, c.session = nil, nil
 		c.retire()
@@ -37,7 +37,7 @@
 		return
 	}
 	c.settle(a)
-	if o.s.instance != "" {
+	if o.s.boundInstance != "" {
 		o.finish(a)
 		return
 	}
@@ -51,7 +51,7 @@
 // settle frees a connection after a statement outside a transaction, or closes one that
 // is in a state which it should not be in.
 func (c *Conn) settle(a statement.Answer) {
-	c.retireUnless(a.State == statement.TxNone)
+	c.freeIf(a.State == statement.TxNone)
 }
 
 func (o *operation) succeeded(a statement.Answer) {
@@ -70,7 +70,7 @@
 
 // failedInTx answers a failure in a transaction, which is rolled back.
 func (o *operation) failedInTx(a statement.Answer) {
-	o.s.fail()
+	o.s.failTransaction()
 	o.finish(a)
 }
 
@@ -83,30 +83,30 @@
 func (o *operation) again(code statement.Code) {
 	now := o.g.r.now()
 	o.leave(now, 0)
-	if o.over {
+	if o.finished {
 		return
 	}
-	if o.begun() {
+	if o.txBegun() {
 		o.failedInTx(statement.Answer{
 			Code: statement.CodeAborted, Detail: "rolled back: its connection could not be made ready", RetryAfter: retrySoon,
 		})
 		return
 	}
-	if o.s.instance != "" && code == statement.CodeFailed {
+	if o.s.boundInstance != "" && code == statement.CodeFailed {
 		o.give(statement.Answer{Code: code, Detail: "the connection to the instance was lost"})
 		return
 	}
 	stays := code == statement.CodeReadOnly || code == statement.CodeNotPrepared || code == statement.CodeUnreachable
-	if o.conn != nil && o.s.instance == "" && !stays {
-		o.avoid.Add(o.conn.Instance)
+	if o.conn != nil && o.s.boundInstance == "" && !stays {
+		o.excluded.Add(o.conn.Instance)
 	}
-	if o.tries >= maxTries || !now.Before(o.deadline) {
+	if o.attempts >= maxAttempts || !now.Before(o.deadline) {
 		o.refuse(code, "no instance could run it", retrySoon)
 		return
 	}
-	o.g.r.counts.Retried++
-	o.note(EventRetry, "run it elsewhere", "it was not run", code)
-	o.wait()
+	o.g.r.counters.Retried++
+	o.logEvent(EventRetry, "run it elsewhere", "it was not run", code)
+	o.enqueue()
 }
 
 // retrySoon is when to come back after a trouble that passes by itself, such as a change
@@ -119,7 +119,7 @@
 // back with its connection. Only a write or a commit of writes that was sent may have
 // been run or not: it is never sent again, and its caller is told so at once.
 func (o *operation) cut(why string) {
-	if o.over {
+	if o.finished {
 		return
 	}
 	o.leave(o.g.r.now(), 0)
@@ -127,7 +127,7 @@
 	switch {
 	case !o.sent:
 		o.again(statement.CodeBusy)
-	case o.s.tx.open && (!commit || !o.s.tx.writes):
+	case o.s.tx.open && (!commit || !o.s.tx.mayHaveWritten):
 		o.s.tx.failed = true
 		o.give(statement.Answer{Code: statement.CodeAborted, Detail: "rolled back: " + why, RetryAfter: retrySoon})
 	case commit || o.writes:
@@ -139,7 +139,7 @@
 
 // inDoubt tells the caller that its write may have been run or not.
 func (o *operation) inDoubt(why string) {
-	o.g.r.counts.InDoubt++
+	o.g.r.counters.InDoubt++
 	o.give(statement.Answer{Code: statement.CodeInDoubt, Detail: "sent, but not known to be kept: " + why})
 }
 
@@ -147,8 +147,8 @@
 func (o *operation) late() {
 	c := o.conn
 	c.op = nil
-	o.note(EventAnswer, "give up", "the statement has reached its time limit", statement.CodeTimeout)
-	c.lost("a statement reached its time limit")
+	o.logEvent(EventAnswer, "give up", "the statement has reached its time limit", statement.CodeTimeout)
+	c.handleClose("a statement reached its time limit")
 	if o.s.tx.conn == c {
 		o.s.tx.conn = nil
 	}
@@ -162,27 +162,27 @@
 
 // refuse answers that nothing was run.
 func (o *operation) refuse(code statement.Code, why string, after time.Duration) {
-	if !o.ran && (!o.s.tx.open || !o.s.tx.ran) && o.g.r.cfg.Refund != nil && o.s.instance == "" {
+	if !o.everSent && (!o.s.tx.open || !o.s.tx.mayHaveRun) && o.g.r.cfg.Refund != nil && o.s.boundInstance == "" {
 		o.g.r.cfg.Refund(o.s.account)
 	}
 	if o.s.tx.open {
 		// The transaction never began on an instance, or was rolled back.
-		o.s.fail()
+		o.s.failTransaction()
 	}
 	if code == statement.CodeFailed || code == statement.CodeTimeout || code == statement.CodeNotPrepared {
 		// Of a read nothing is kept, so that the caller may be told to come again.
 		code = statement.CodeBusy
 	}
-	o.g.r.counts.Refused++
-	o.s.turned = true
-	o.note(EventRefuse, "refuse", why, code)
+	o.g.r.counters.Refused++
+	o.s.lastRefused = true
+	o.logEvent(EventRefuse, "refuse", why, code)
 	o.give(statement.Answer{Code: code, Detail: why, RetryAfter: after})
 }
 
 // finish gives the instance's answer.
 func (o *operation) finish(a statement.Answer) {
 	if a.Code == statement.CodeNone {
-		o.g.r.counts.Answered++
+		o.g.r.counters.Answered++
 	}
 	o.give(a)
 }
@@ -200,37 +200,37 @@
 // give ends the operation with an answer to its caller. A commit ends its transaction,
 // however it went.
 func (o *operation) give(a statement.Answer) {
-	if o.over {
+	if o.finished {
 		return
 	}
-	o.over = true
+	o.finished = true
 	s := o.s
 	s.op = nil
 	if o.q.Kind == statement.KindCommit {
 		s.tx = transaction{}
 	}
-	if s.gone {
+	if s.disconnected {
 		return
 	}
-	s.tx.rest = o.g.r.now()
+	s.tx.idleSince = o.g.r.now()
 	a.State = s.state()
-	took := s.tx.rest.Sub(o.asked)
-	if o.g.r.cfg.ObserveLatency != nil && s.instance == "" {
+	took := s.tx.idleSince.Sub(o.startedAt)
+	if o.g.r.cfg.ObserveLatency != nil && s.boundInstance == "" {
 		o.g.r.cfg.ObserveLatency(o.route.Consistency, a.Code, took)
 	}
 	if a.Code != statement.CodeNone || took > o.route.Target && o.route.Target > 0 {
-		o.note(EventAnswer, "answer", a.Detail, a.Code)
+		o.logEvent(EventAnswer, "answer", a.Detail, a.Code)
 	}
-	s.link.Answer(a)
-	s.rest()
+	s.caller.Answer(a)
+	s.closeIfIdle()
 }
 
 // abandon ends the operation of a caller that has gone.
 func (o *operation) abandon() {
-	if o.over {
+	if o.finished {
 		return
 	}
-	o.over = true
+	o.finished = true
 	if _, ok := o.g.waiting[o.key]; ok {
 		o.g.queue.Remove(o.key)
 		delete(o.g.waiting, o.key)
@@ -242,6 +242,6 @@
 		if o.s.tx.conn == c {
 			o.s.tx.conn = nil
 		}
-		c.lost("the caller has gone")
+		c.handleClose("the caller has gone")
 	}
 }
--- a/core/relay/outlook.go
+++ b/core/relay/outlook.go
@@ -14,9 +14,9 @@
 	switch {
 	case p == nil:
 		return "the group has no primary now"
-	case !g.r.reaches(now, p):
+	case !g.r.canReach(now, p):
 		return "the primary can't be reached"
-	case !p.open(now):
+	case !p.acceptsNew(now):
 		return "the primary's data centre is evacuated"
 	case g.superseded():
 		return "another instance says that it leads a later term"
@@ -24,7 +24,7 @@
 		return ""
 	}
 	for _, n := range g.others(p.info.Name) {
-		if i := g.instances[n]; i != nil && !g.r.reaches(now, i) {
+		if i := g.instances[n]; i != nil && !g.r.canReach(now, i) {
 			return "neither the store nor all instances can be asked whether the primary still leads"
 		}
 	}
@@ -49,19 +49,19 @@
 // hopeless says why an operation can't be served in time, and when to come back. Whoever
 // is told at once can come back in time, or to a host that can.
 func (g *group) hopeless(now time.Time, o *operation) (string, time.Duration) {
-	if n := o.s.instance; n != "" {
+	if n := o.s.boundInstance; n != "" {
 		i := g.instances[n]
 		switch {
 		case i == nil && g.r.meeting(now):
 			return "", 0
 		case i == nil || i.gone || i.doubtful(now):
 			return "this host can't reach the instance", retrySoon
-		case !i.open(now):
+		case !i.acceptsNew(now):
 			return "the instance's data centre is evacuated", retrySoon
 		}
 		return "", 0
 	}
-	if !g.atHome(o) {
+	if !g.hasAllowedInstance(o) {
 		return "no instance that could run it stands in a region that it may enter", abroadRetry
 	}
 	if g.exhausted(o) {
@@ -71,8 +71,8 @@
 	if why == "" {
 		return "", 0
 	}
-	if !o.lead {
-		if s, ok := g.needs(o); ok && g.readable(now, o, s) {
+	if !o.needsPrimary {
+		if s, ok := g.requiredSample(o); ok && g.readable(now, o, s) {
 			return "", 0
 		}
 		if g.recent(now, o) {
@@ -89,17 +89,17 @@
 // exhausted reports whether an operation has been turned away by all that can run it. To
 // wait would then be in vain: it is tried on each only once.
 func (g *group) exhausted(o *operation) bool {
-	if len(o.avoid) == 0 {
+	if len(o.excluded) == 0 {
 		return false
 	}
-	if p := g.primary(); p != nil && !o.avoid.Has(p.info.Name) {
+	if p := g.primary(); p != nil && !o.excluded.Has(p.info.Name) {
 		return false
 	}
-	if o.lead {
+	if o.needsPrimary {
 		return g.primary() != nil
 	}
 	for _, i := range g.instances {
-		if i.usable() && !o.avoid.Has(i.info.Name) {
+		if i.usable() && !o.excluded.Has(i.info.Name) {
 			return false
 		}
 	}
@@ -109,7 +109,7 @@
 // readable reports whether any instance but the primary can be reached for a read that needs s.
 func (g *group) readable(now time.Time, o *operation, s staleness.Sample) bool {
 	for _, i := range g.instances {
-		if i.usable() && i.joined(s) && !g.leads(i.info.Name) && g.r.reaches(now, i) && !o.avoid.Has(i.info.Name) {
+		if i.usable() && i.joined(s) && !g.leads(i.info.Name) && g.r.canReach(now, i) && !o.excluded.Has(i.info.Name) {
 			return true
 		}
 	}
@@ -119,14 +119,14 @@
 // meeting reports whether the host has just started and may not have read which instances there are,
 // although others know. What they send it is worth a moment's wait: told that this host can't reach
 // the instance, they would turn to one another.
-func (r *Relay) meeting(now time.Time) bool { return now.Sub(r.began) < acquaintance }
+func (r *Relay) meeting(now time.Time) bool { return now.Sub(r.startedAt) < discoveryPeriod }
 
 // recent reports whether the primary can be reached and is known to have led up to the moment whose
 // commits a read has to show.
 func (g *group) recent(now time.Time, o *operation) bool {
 	p := g.primary()
-	return p != nil && g.r.reaches(now, p) && p.open(now) && !o.avoid.Has(p.info.Name) && !g.superseded() &&
-		!g.sole().Before(o.age)
+	return p != nil && g.r.canReach(now, p) && p.acceptsNew(now) && !o.excluded.Has(p.info.Name) && !g.superseded() &&
+		!g.sole().Before(o.asOf)
 }
 
 const (
--- a/core/relay/place.go
+++ b/core/relay/place.go
@@ -9,21 +9,21 @@
 	"skylarkdeal/core/staleness"
 )
 
-// needs returns the point that a read has to cover on a replica, with what it was taken from,
+// requiredSample returns the point that a read has to cover on a replica, with what it was taken from,
 // and whether it is known.
-func (g *group) needs(o *operation) (staleness.Sample, bool) {
-	s, ok := g.samples.Oldest(o.age)
+func (g *group) requiredSample(o *operation) (staleness.Sample, bool) {
+	s, ok := g.samples.Oldest(o.asOf)
 	if !ok {
 		return staleness.Sample{}, false
 	}
-	if o.route.Consistency == catalog.ConsistencySession && !s.Position.Covers(o.s.written) {
-		s.Position = o.s.written
+	if o.route.Consistency == catalog.ConsistencySession && !s.Position.Covers(o.s.lastCommit) {
+		s.Position = o.s.lastCommit
 	}
 	return s, true
 }
 
-// pump starts what can be started.
-func (g *group) pump() {
+// dispatch starts what can be started.
+func (g *group) dispatch() {
 	if g.pumping {
 		return
 	}
@@ -37,134 +37,135 @@
 	for len(g.waiting) > 0 {
 		found := map[uint64]*Conn{}
 		item, ok := g.queue.Next(now, func(i admit.Item) bool {
-			c := g.place(now, g.waiting[i.Key])
+			c := g.chooseConn(now, g.waiting[i.Key])
 			if c == nil {
 				return false
 			}
-			c.offered, found[i.Key] = true, c
+			c.reserved, found[i.Key] = true, c
 			return true
 		})
 		for _, c := range found {
-			c.offered = false
+			c.reserved = false
 		}
 		if !ok {
 			return
 		}
-		g.waiting[item.Key].run(found[item.Key])
+		g.waiting[item.Key].runOn(found[item.Key])
 	}
 }
 
 const (
-	// freshWork is how long a measured time counts: an instance that was slow is tried
+	// latencyMaxAge is how long a measured time counts: an instance that was slow is tried
 	// again after it.
-	freshWork = 2 * time.Second
-	// lagPause is how long an instance that lacked a point is passed over, at first; it is
+	latencyMaxAge = 2 * time.Second
+	// lagBackoffMin is how long an instance that lacked a point is passed over, at first; it is
 	// about how far replicas usually are behind. lagPauseMax bounds it.
-	lagPause    = 60 * time.Millisecond
-	lagPauseMax = time.Second
+	lagBackoffMin = 60 * time.Millisecond
+	lagBackoffMax = time.Second
 )
 
-// place returns the connection on which an operation is to run now, or nil. It begins
+// chooseConn returns the connection on which an operation is to run now, or nil. It begins
 // to connect where that is better than what there is.
 //
 // The load it is made for: few slots on each instance, one of them slow or far behind,
 // accounts that each need connections of their own. Callers would wait behind one
 // slow instance while the others rest, so the expected wait decides.
-func (g *group) place(now time.Time, o *operation) *Conn {
+func (g *group) chooseConn(now time.Time, o *operation) *Conn {
 	if o == nil {
 		return nil
 	}
-	if o.dial != nil && o.dial.state == connIdle && o.dial.inst.bears(now) && g.serves(now, o.dial.inst, o) {
-		return o.dial
+	if o.dialling != nil && o.dialling.state == connIdle && o.dialling.inst.canStart(now) &&
+		g.canRun(now, o.dialling.inst, o) {
+		return o.dialling
 	}
-	var ready, dial way
+	var ready, dial path
 	for _, i := range g.instances {
-		if !g.serves(now, i, o) {
+		if !g.canRun(now, i, o) {
 			continue
 		}
-		w, ok := g.way(now, i, o)
+		w, ok := g.pathTo(now, i, o)
 		if !ok {
 			continue
 		}
-		to := &ready
+		best := &ready
 		if w.conn == nil && w.peer.Host == "" {
-			to = &dial
+			best = &dial
 		}
-		if to.inst == nil || w.cost < to.cost {
-			*to = w
+		if best.inst == nil || w.cost < best.cost {
+			*best = w
 		}
 	}
 	if dial.inst != nil && (ready.inst == nil || dial.cost < ready.cost) {
-		if o.dial == nil || o.dial.state == connClosed {
-			o.dial = dial.inst.connect(now, o)
+		if o.dialling == nil || o.dialling.state == connClosed {
+			o.dialling = dial.inst.connect(now, o)
 		}
-		if o.dial != nil {
+		if o.dialling != nil {
 			return nil
 		}
 	}
 	if ready.inst == nil || ready.conn != nil {
 		return ready.conn
 	}
-	return ready.inst.over(ready.peer, o.s.account)
+	return ready.inst.connVia(ready.peer, o.s.account)
 }
 
-// way is how an operation can reach an instance: by a connection that rests, over another
+// path is how an operation can reach an instance: by a connection that rests, over another
 // host, or by a connection that is to be made.
-type way struct {
+type path struct {
 	inst *instance
 	conn *Conn
 	peer Peer
 	cost time.Duration
 }
 
-// serves reports whether an instance may run an operation now.
-func (g *group) serves(now time.Time, i *instance, o *operation) bool {
-	if !i.open(now) || !g.r.allow(o.homes, i.info.DataCentre) {
+// canRun reports whether an instance may run an operation now.
+func (g *group) canRun(now time.Time, i *instance, o *operation) bool {
+	if !i.acceptsNew(now) || !g.r.allowsRegion(o.regions, i.info.DataCentre) {
 		return false
 	}
-	if o.s.instance != "" {
-		return i.info.Name == o.s.instance && !i.gone
+	if o.s.boundInstance != "" {
+		return i.info.Name == o.s.boundInstance && !i.gone
 	}
-	if o.avoid.Has(i.info.Name) || i.gone {
+	if o.excluded.Has(i.info.Name) || i.gone {
 		return false
 	}
 	leads := g.leads(i.info.Name)
 	if leads && g.primary() == i {
 		return g.mayLead(o)
 	}
-	if o.lead || leads || !i.usable() || i.info.Name == g.belief.DesignatedPrimary() {
+	if o.needsPrimary || leads || !i.usable() || i.info.Name == g.belief.DesignatedPrimary() {
 		return false
 	}
 	g.readAt = now
-	s, ok := g.needs(o)
+	s, ok := g.requiredSample(o)
 	return ok && i.joined(s) && (i.point.Covers(s.Position) || i.mayTry(now, o))
 }
 
-// way returns how an operation can reach an instance now, false while the link to its holder
+// pathTo returns how an operation can reach an instance now, false while the link to its holder
 // is being made.
-func (g *group) way(now time.Time, i *instance, o *operation) (way, bool) {
-	w := way{inst: i}
+func (g *group) pathTo(now time.Time, i *instance, o *operation) (path, bool) {
+	w := path{inst: i}
 	leads := g.leads(i.info.Name)
-	about := pathcost.Path{
-		Latency: i.work, Running: i.busy(), Slots: i.info.Slots, Remote: !i.local(), PrimaryRead: !o.lead && leads,
-		Silent: !g.r.reaches(now, i), Cold: !o.lead && i.isCold(now),
+	est := pathcost.Path{
+		Latency: i.work, Running: i.busy(), Slots: i.info.Slots, Remote: !i.local(), PrimaryRead: !o.needsPrimary && leads,
+		Silent: !g.r.canReach(now, i), Cold: !o.needsPrimary && i.isCold(now),
 	}
-	if now.Sub(i.workAt) > freshWork {
-		about.Latency = 0
+	if now.Sub(i.workAt) > latencyMaxAge {
+		est.Latency = 0
 	}
-	p, over := g.r.holder(i)
-	if over && o.s.instance == "" && g.r.allow(o.homes, p.DataCentre) {
+	p, held := g.r.holder(i)
+	if held && o.s.boundInstance == "" && g.r.allowsRegion(o.regions, p.DataCentre) {
 		if p.Send == nil {
-			return way{}, false
+			return path{}, false
 		}
 		w.peer = p
 	} else {
-		if !i.bears(now) {
-			return way{}, false
+		if !i.canStart(now) {
+			return path{}, false
 		}
-		w.conn, about.SetupStatements = i.idle(o.s.account, o.s, o.prep)
-		about.Connect = w.conn == nil
+		w.conn, est.SetupStatements = i.idleConn(o.s.account, o.s, o.prepared)
+		est.Connect = w.conn == nil
 	}
-	w.cost = about.Cost(o.route.Target)
+	w.cost = est.Cost(o.route.Target)
 	return w, true
 }
--- a/core/relay/prove.go
+++ b/core/relay/prove.go
@@ -131,12 +131,12 @@
 // judge gives an answer to its caller, or has it wait for the proof that it came from
 // the primary. Reads on replicas were proved by the point they had to cover.
 func (g *group) judge(o *operation, c *Conn, a statement.Answer) {
-	if o.s.instance != "" {
+	if o.s.boundInstance != "" {
 		o.finish(a)
 		return
 	}
-	if !o.lead && !g.leads(c.Instance) {
-		if _, ok := o.after.Get(); ok {
+	if !o.needsPrimary && !g.leads(c.Instance) {
+		if _, ok := o.requiredPosition.Get(); ok {
 			o.finish(a)
 			return
 		}
@@ -151,16 +151,16 @@
 	case v == leader.VerdictVerified || v == leader.VerdictAsk && len(ask) == 0:
 		g.confirmed(o, a)
 	case v == leader.VerdictRefuted:
-		o.answer = &a
+		o.unverifiedAnswer = &a
 		g.unprovedOp(o, "the primary has been replaced")
 	default:
-		o.answer = &a
+		o.unverifiedAnswer = &a
 		g.unproven[o.key] = o
 		g.proofs.Add(leader.PendingAnswer{
 			Key: o.key, Instance: c.Instance, Term: term, At: now, Deadline: now.Add(proofPatience),
 		}, ask)
 		g.askFor(now)
-		g.r.hurry()
+		g.r.requestTick()
 	}
 }
 
@@ -171,11 +171,11 @@
 // The load it is made for: a data centre that is cut off with the store away. Its primaries can't be
 // proved to lead any more, yet for as long as callers accept they know all that is owed.
 func (g *group) shows(o *operation, c *Conn, a statement.Answer) bool {
-	if o.lead || g.primary() != c.inst || g.sole().Before(o.age) {
+	if o.needsPrimary || g.primary() != c.inst || g.sole().Before(o.asOf) {
 		return false
 	}
 	p, ok := a.Position.Get()
-	return ok && p.Covers(o.s.written)
+	return ok && p.Covers(o.s.lastCommit)
 }
 
 // proofPatience bounds the wait for a proof. It is some round trips with a new
@@ -207,8 +207,8 @@
 
 // confirmed gives a proved answer.
 func (g *group) confirmed(o *operation, a statement.Answer) {
-	if p, ok := a.Position.Get(); ok && o.writes && !o.s.written.Covers(p) {
-		o.s.written = p
+	if p, ok := a.Position.Get(); ok && o.writes && !o.s.lastCommit.Covers(p) {
+		o.s.lastCommit = p
 	}
 	o.finish(a)
 }
@@ -216,19 +216,19 @@
 func (g *group) proved(c leader.PendingAnswer) {
 	o := g.unproven[c.Key]
 	delete(g.unproven, c.Key)
-	if o == nil || o.over {
+	if o == nil || o.finished {
 		return
 	}
-	if p, ok := o.answer.Position.Get(); ok && !o.sentAt.Before(g.settledAt) {
+	if p, ok := o.unverifiedAnswer.Position.Get(); ok && !o.sentAt.Before(g.settledAt) {
 		g.sampled(c.Instance, staleness.Sample{Position: p, AskedAt: o.sentAt, PrimaryTerm: c.Term})
 	}
-	g.confirmed(o, *o.answer)
+	g.confirmed(o, *o.unverifiedAnswer)
 }
 
 func (g *group) unproved(c leader.PendingAnswer, why string) {
 	o := g.unproven[c.Key]
 	delete(g.unproven, c.Key)
-	if o == nil || o.over {
+	if o == nil || o.finished {
 		return
 	}
 	g.unprovedOp(o, why)
@@ -240,10 +240,10 @@
 func (g *group) unprovedOp(o *operation, why string) {
 	commit := o.q.Kind == statement.KindCommit
 	switch {
-	case commit && o.s.tx.writes || o.writes && !commit && !o.s.tx.open:
+	case commit && o.s.tx.mayHaveWritten || o.writes && !commit && !o.s.tx.open:
 		o.inDoubt(why)
 	case o.s.tx.open:
-		o.s.fail()
+		o.s.failTransaction()
 		o.give(statement.Answer{Code: statement.CodeAborted, Detail: "rolled back: " + why, RetryAfter: retrySoon})
 	default:
 		o.again(statement.CodeBusy)
--- a/core/relay/query.go
+++ b/core/relay/query.go
@@ -6,25 +6,25 @@
 	"skylarkdeal/core/statement"
 )
 
-// done answers a statement that needs no instance.
-func (s *Session) done() {
-	s.link.Answer(statement.Answer{State: s.state()})
+// acknowledge answers a statement that needs no instance.
+func (s *Session) acknowledge() {
+	s.caller.Answer(statement.Answer{State: s.state()})
 }
 
 // refuse answers that a statement was not run, and when to come back. In a transaction
 // that fails it.
-func (s *Session) refuse(c statement.Code, why string, after time.Duration) {
+func (s *Session) refuse(c statement.Code, reason string, retryAfter time.Duration) {
 	if s.tx.open {
-		s.fail()
+		s.failTransaction()
 	}
-	s.r.counts.Refused++
-	s.link.Answer(statement.Answer{Code: c, Detail: why, RetryAfter: after, State: s.state()})
+	s.r.counters.Refused++
+	s.caller.Answer(statement.Answer{Code: c, Detail: reason, RetryAfter: retryAfter, State: s.state()})
 }
 
-// fail marks the open transaction as failed and rolls it back.
-func (s *Session) fail() {
+// failTransaction marks the open transaction as failed and rolls it back.
+func (s *Session) failTransaction() {
 	s.tx.failed = true
-	s.release()
+	s.releaseConn()
 }
 
 // Query takes the caller's next statement. Whoever calls it keeps the one after it
@@ -34,9 +34,9 @@
 		s.reject(statement.CodeMalformed, "a statement before the start of the session")
 		return
 	}
-	s.r.counts.Statements++
+	s.r.counters.Statements++
 	if s.tx.failed && q.Kind != statement.KindCommit && q.Kind != statement.KindRollback {
-		s.link.Answer(statement.Answer{
+		s.caller.Answer(statement.Answer{
 			Code: statement.CodeMalformed, Detail: "the transaction has failed", State: statement.TxFailed,
 		})
 		return
@@ -48,7 +48,7 @@
 		s.prepare(q)
 	case statement.KindDeallocate:
 		delete(s.prepared, q.Name)
-		s.done()
+		s.acknowledge()
 	case statement.KindBegin, statement.KindBeginRead:
 		s.begin(q)
 	case statement.KindRollback:
@@ -63,25 +63,25 @@
 	for n := range s.values {
 		if s.values[n].name == q.Name {
 			s.values[n] = v
-			s.done()
+			s.acknowledge()
 			return
 		}
 	}
-	if len(s.values) >= maxNames {
+	if len(s.values) >= maxSessionEntries {
 		s.refuse(statement.CodeTooMany, "too many values in one session", 0)
 		return
 	}
 	s.values = append(s.values, v)
-	s.done()
+	s.acknowledge()
 }
 
 func (s *Session) prepare(q statement.Statement) {
-	if _, ok := s.prepared[q.Name]; !ok && len(s.prepared) >= maxNames {
+	if _, ok := s.prepared[q.Name]; !ok && len(s.prepared) >= maxSessionEntries {
 		s.refuse(statement.CodeTooMany, "too many prepared statements in one session", 0)
 		return
 	}
-	s.prepared[q.Name] = &prepared{shape: q.Definition, name: sharedName(q.Definition), id: q.ID}
-	s.done()
+	s.prepared[q.Name] = &prepared{definition: q.Definition, name: sharedName(q.Definition), id: q.ID}
+	s.acknowledge()
 }
 
 // begin opens a transaction. No instance hears of it before its first statement, which
@@ -91,23 +91,24 @@
 		s.refuse(statement.CodeMalformed, "a transaction is open already", 0)
 		return
 	}
-	if !s.enter(q.ID) {
+	if !s.admit(q.ID) {
 		return
 	}
 	now := s.r.now()
 	s.tx = transaction{
-		open: true, read: q.Kind == statement.KindBeginRead, begin: q.ID, after: q.After, asked: now, rest: now,
+		open: true, read: q.Kind == statement.KindBeginRead, beginID: q.ID, requiredPosition: q.After,
+		begunAt: now, idleSince: now,
 	}
-	s.done()
+	s.acknowledge()
 }
 
-// enter begins an operation: by the route, the key and the rate that are in force now.
-func (s *Session) enter(id statement.ID) bool {
-	if s.instance != "" {
+// admit begins an operation: by the route, the key and the rate that are in force now.
+func (s *Session) admit(id statement.ID) bool {
+	if s.boundInstance != "" {
 		return true
 	}
-	if code, why := s.admitted(); code != statement.CodeNone {
-		s.reject(code, why)
+	if code, reason := s.authorise(); code != statement.CodeNone {
+		s.reject(code, reason)
 		return false
 	}
 	a, ok := s.r.catalog.Accounts[s.account]
@@ -127,10 +128,10 @@
 }
 
 func (s *Session) rollback() {
-	s.release()
+	s.releaseConn()
 	s.tx = transaction{}
-	s.done()
-	s.rest()
+	s.acknowledge()
+	s.closeIfIdle()
 }
 
 // run has an instance run a read, a write or a commit.
@@ -142,28 +143,28 @@
 			return
 		}
 	}
-	if q.Kind == statement.KindCommit && !s.commits() {
+	if q.Kind == statement.KindCommit && !s.checkCommit() {
 		return
 	}
-	if !s.tx.open && !s.enter(q.ID) {
+	if !s.tx.open && !s.admit(q.ID) {
 		return
 	}
 	newOperation(s, q, p).start()
 }
 
-// commits reports whether a commit is to be run, and else answers it.
-func (s *Session) commits() bool {
+// checkCommit reports whether a commit is to be run, and else answers it.
+func (s *Session) checkCommit() bool {
 	switch {
 	case !s.tx.open:
 		s.refuse(statement.CodeMalformed, "no transaction is open", 0)
 		return false
 	case s.tx.failed:
 		s.tx = transaction{}
-		s.link.Answer(statement.Answer{
+		s.caller.Answer(statement.Answer{
 			Code: statement.CodeAborted, Detail: "the transaction had failed and was rolled back",
 			State: statement.TxNone,
 		})
-		s.rest()
+		s.closeIfIdle()
 		return false
 	}
 	return true
--- /dev/null
+++ b/core/relay/regions.go
@@ -0,0 +1,66 @@
+package relay
+
+import (
+	"skylarkdeal/core/catalog"
+	"skylarkdeal/core/fleet"
+)
+
+// allowedRegions are the regions that one operation may enter: those that its route and its account both
+// allow.
+type allowedRegions struct {
+	route, account catalog.AllowedRegions
+}
+
+// restricted reports whether the operation may not go everywhere.
+func (a allowedRegions) restricted() bool { return len(a.route)+len(a.account) > 0 }
+
+// allowsRegion reports whether the operation may be read and run in a data centre. One whose region isn't
+// known is in none.
+func (r *Relay) allowsRegion(a allowedRegions, dc fleet.DataCentre) bool {
+	if !a.restricted() {
+		return true
+	}
+	region := r.cfg.Regions[dc]
+	return a.route.Allow(region) && a.account.Allow(region)
+}
+
+// hasAllowedInstance reports whether any instance that could run an operation stands in a region that it may
+// enter.
+func (g *group) hasAllowedInstance(o *operation) bool {
+	if !o.regions.restricted() {
+		return true
+	}
+	if o.needsPrimary {
+		p := g.primary()
+		return p == nil || g.r.allowsRegion(o.regions, p.info.DataCentre)
+	}
+	for _, i := range g.instances {
+		if !i.gone && g.r.allowsRegion(o.regions, i.info.DataCentre) {
+			return true
+		}
+	}
+	return false
+}
+
+// outsideRegion reports whether an instance stands where some database of the service may not be served.
+func (g *group) outsideRegion(i *instance) bool {
+	for _, h := range g.confined {
+		if !g.r.allowsRegion(allowedRegions{route: h}, i.info.DataCentre) {
+			return true
+		}
+	}
+	return false
+}
+
+// setRegions takes in which databases of each service may not be served everywhere.
+func (r *Relay) setRegions(c *catalog.Catalog) {
+	for _, g := range r.groups {
+		g.confined = nil
+	}
+	for _, route := range c.Routes {
+		if len(route.AllowedRegions) > 0 {
+			g := r.group(route.Service)
+			g.confined = append(g.confined, route.AllowedRegions)
+		}
+	}
+}
--- a/core/relay/reign.go
+++ b/core/relay/reign.go
@@ -70,10 +70,10 @@
 // owed is fixed when the operation begins, so that a read which is held up after this, in a queue
 // or on the way, still shows all that it has to.
 func (g *group) mayLead(o *operation) bool {
-	if o.writes && !o.opens || !g.sole().Before(o.age) {
+	if o.writes && !o.beginsTx || !g.sole().Before(o.asOf) {
 		return true
 	}
-	g.doubt = later(g.doubt, o.age)
+	g.doubt = later(g.doubt, o.asOf)
 	return false
 }
 
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -56,27 +56,27 @@
 	sessions map[*Session]struct{}
 	groups   map[fleet.Service]*group
 	lease    leader.Lease
-	// began is when the relay was made.
-	began time.Time
-	// hosts is the most hosts that there were lately, at hostsAt.
-	hosts      int
-	hostsAt    time.Time
-	key        uint64
-	counts     Counters
-	drain      drain
-	duty       duty
-	forwarding forwarding
-	// ticked is when the last tick was, awake until when time limits rest after a pause
+	// startedAt is when the relay was made.
+	startedAt time.Time
+	// hostCount is the most hostCount that there were lately, at hostsAt.
+	hostCount   int
+	hostCountAt time.Time
+	lastKey     uint64
+	counters    Counters
+	drain       drainState
+	duty        duty
+	forwarding  forwarding
+	// lastTick is when the last tick was, pauseGraceUntil until when time limits rest after a pause
 	// of the process itself.
-	ticked, awake time.Time
-	// cut is since when the host is cut off, zero while it isn't.
-	cut time.Time
+	lastTick, pauseGraceUntil time.Time
+	// cutOffSince is since when the host is cutOffSince off, zero while it isn't.
+	cutOffSince time.Time
 	// evacuated are the data centres that are to be left alone, since when this host knows.
 	evacuated map[fleet.DataCentre]time.Time
-	// members counts the hosts of each data centre, heard or not.
-	members map[fleet.DataCentre]int
-	// confirmed is when the list of instances in use was last known to be the store's.
-	confirmed time.Time
+	// dataCentreSizes counts the hosts of each data centre, heard or not.
+	dataCentreSizes map[fleet.DataCentre]int
+	// instancesConfirmedAt is when the list of instances in use was last known to be the store's.
+	instancesConfirmedAt time.Time
 }
 
 // Counters are running totals, for metrics.
@@ -94,31 +94,31 @@
 // New returns a Relay without a catalog, which lets nobody in yet.
 func New(cfg Config) *Relay {
 	return &Relay{
-		began:    cfg.Now(),
-		cfg:      cfg,
-		sessions: map[*Session]struct{}{},
-		groups:   map[fleet.Service]*group{},
-		hosts:    unknownHosts,
+		startedAt: cfg.Now(),
+		cfg:       cfg,
+		sessions:  map[*Session]struct{}{},
+		groups:    map[fleet.Service]*group{},
+		hostCount: defaultHostCount,
 		forwarding: forwarding{
-			virtual: map[uint64]*Conn{}, guests: map[stream]*Session{},
+			forwardedConns: map[uint64]*Conn{}, inboundSessions: map[streamKey]*Session{},
 		},
 	}
 }
 
 func (r *Relay) now() time.Time { return r.cfg.Now() }
 
-// unknownHosts stands for the number of hosts until it is known.
-const unknownHosts = 8
+// defaultHostCount stands for the number of hosts until it is known.
+const defaultHostCount = 8
 
-// hostsFor is how long a host that has gone still counts: it may be cut off, or on its
+// hostCountDecreaseDelay is how long a host that has gone still counts: it may be cut off, or on its
 // way back, and finds no room on the instances where others have taken its part.
-const hostsFor = 20 * time.Second
+const hostCountDecreaseDelay = 20 * time.Second
 
 // SetHostCount tells how many hosts there are, which share the instances' connections.
 func (r *Relay) SetHostCount(n int) {
 	now := r.now()
-	if r.hostsAt.IsZero() || n >= r.hosts || now.Sub(r.hostsAt) > hostsFor {
-		r.hosts, r.hostsAt = max(n, 1), now
+	if r.hostCountAt.IsZero() || n >= r.hostCount || now.Sub(r.hostCountAt) > hostCountDecreaseDelay {
+		r.hostCount, r.hostCountAt = max(n, 1), now
 	}
 }
 
@@ -142,21 +142,21 @@
 	})
 	g.changedAt = r.now()
 	g.unaffected = r.lease.Until()
-	g.pump()
+	g.dispatch()
 }
 
 // SetInstances takes in all instances as they announce themselves, by a reading that was begun at some
 // moment.
-func (r *Relay) SetInstances(is []catalog.Instance, read time.Time) {
-	by := map[fleet.Service][]catalog.Instance{}
+func (r *Relay) SetInstances(is []catalog.Instance, readAt time.Time) {
+	byService := map[fleet.Service][]catalog.Instance{}
 	for _, i := range is {
-		by[i.Service] = append(by[i.Service], i)
+		byService[i.Service] = append(byService[i.Service], i)
 	}
-	for s := range by {
+	for s := range byService {
 		r.group(s)
 	}
 	for s, g := range r.groups {
-		g.listed(by[s], read)
+		g.listed(byService[s], readAt)
 	}
 }
 
@@ -166,13 +166,13 @@
 		return false
 	}
 	r.catalog = c
-	r.evacuate(c)
-	r.confine(c)
+	r.setEvacuated(c)
+	r.setRegions(c)
 	for _, s := range c.Services {
 		r.group(s.Name).service = s
 	}
 	for s := range r.sessions {
-		s.review()
+		s.revalidate()
 	}
 	return true
 }
@@ -180,7 +180,7 @@
 // Ready reports whether the host can serve: it knows a catalog and, for each service,
 // an instance.
 func (r *Relay) Ready() bool {
-	if r.catalog == nil || r.drain.on || r.CutOff() {
+	if r.catalog == nil || r.drain.started || r.CutOff() {
 		return false
 	}
 	for _, s := range r.catalog.Services {
@@ -203,7 +203,7 @@
 // down for all and one primary dead nobody is better off, and no host is missing.
 func (r *Relay) CutOff() bool {
 	now := r.now()
-	secluded := r.secluded(now)
+	secluded := r.isolated(now)
 	if r.lease.RecordsCurrent(now) && !secluded || len(r.groups) == 0 {
 		return false
 	}
@@ -213,7 +213,7 @@
 			unable++
 		}
 	}
-	return 2*unable >= len(r.groups) || unable > 0 && r.forwarding.missing > 0
+	return 2*unable >= len(r.groups) || unable > 0 && r.forwarding.missingHosts > 0
 }
 
 func (r *Relay) group(s fleet.Service) *group {
@@ -228,10 +228,10 @@
 // Tick looks at all that depends on the time. It is to be called every few ms.
 func (r *Relay) Tick() {
 	now := r.now()
-	if gap := now.Sub(r.ticked); gap > pausedAfter && !r.ticked.IsZero() {
-		r.awake = now.Add(min(gap, pausedAfter))
+	if gap := now.Sub(r.lastTick); gap > pauseThreshold && !r.lastTick.IsZero() {
+		r.pauseGraceUntil = now.Add(min(gap, pauseThreshold))
 	}
-	r.ticked = now
+	r.lastTick = now
 	for _, g := range r.groups {
 		g.tick(now)
 	}
@@ -247,31 +247,32 @@
 // off.
 func (r *Relay) tickCutOff(now time.Time) {
 	if !r.CutOff() {
-		r.cut = time.Time{}
+		r.cutOffSince = time.Time{}
 		return
 	}
-	if r.cut.IsZero() {
-		r.cut = now
+	if r.cutOffSince.IsZero() {
+		r.cutOffSince = now
 		r.note(Event{
 			Kind: EventSession, Choice: "not ready",
 			Reason: "neither the store nor the primaries can be reached, and other hosts may reach them",
 		})
 	}
-	if now.Sub(r.cut) < balancerNotice {
+	if now.Sub(r.cutOffSince) < balancerReactionTime {
 		return
 	}
 	for s := range r.sessions {
-		if s.started && s.op == nil && !s.tx.open && (s.turned || s.opened.Before(r.cut.Add(balancerNotice))) {
-			s.end()
+		if s.started && s.op == nil && !s.tx.open &&
+			(s.lastRefused || s.openedAt.Before(r.cutOffSince.Add(balancerReactionTime))) {
+			s.close()
 		}
 	}
 }
 
-// pausedAfter is the time between two ticks from which on the process itself was held up.
+// pauseThreshold is the time between two ticks from which on the process itself was held up.
 // The answers that came meanwhile are still unread then, and would look late.
-const pausedAfter = 120 * time.Millisecond
+const pauseThreshold = 120 * time.Millisecond
 
-func (r *Relay) hurry() {
+func (r *Relay) requestTick() {
 	if r.cfg.RequestTick != nil {
 		r.cfg.RequestTick()
 	}
@@ -283,19 +284,19 @@
 		if len(g.waiting)+len(g.inquiries)+g.proofs.Len() > 0 || !g.unsure.AskedAt.IsZero() {
 			return true
 		}
-		if g.tended() && g.able(r.now()) != "" {
+		if g.checksPrimary() && g.able(r.now()) != "" {
 			return true
 		}
 	}
-	return r.drain.on
+	return r.drain.started
 }
 
-// tended reports whether this host has a part in finding out why a group's primary can't answer:
+// checksPrimary reports whether this host has a part in finding out why a group's primary can't answer:
 // the duty, or connections of its own.
 //
 // The load it is made for: hundreds of hosts, nearly all of which use a group over its holders.
 // While one of many groups has no primary, quick ticks of theirs bring nothing.
-func (g *group) tended() bool {
+func (g *group) checksPrimary() bool {
 	if g.r.duty.holds {
 		return true
 	}
@@ -308,8 +309,8 @@
 }
 
 func (r *Relay) nextKey() uint64 {
-	r.key++
-	return r.key
+	r.lastKey++
+	return r.lastKey
 }
 
 // queueLimits are those of the operations of one group that wait on this host.
--- a/core/relay/session.go
+++ b/core/relay/session.go
@@ -22,13 +22,13 @@
 
 // Session is one caller's connection.
 type Session struct {
-	r       *Relay
-	link    CallerConn
-	started bool
-	gone    bool
-	// opened is when the caller connected, turned whether its last operation was refused.
-	opened time.Time
-	turned bool
+	r            *Relay
+	caller       CallerConn
+	started      bool
+	disconnected bool
+	// openedAt is when the caller connected, turned whether its last operation was refused.
+	openedAt    time.Time
+	lastRefused bool
 
 	database catalog.Database
 	key      catalog.Key
@@ -36,23 +36,23 @@
 	// route is the one in force since the last operation began.
 	route catalog.Route
 
-	// instance is set for a session that is run for another host: all that it runs goes
+	// boundInstance is set for a session that is run for another host: all that it runs goes
 	// there.
-	instance fleet.Instance
+	boundInstance fleet.Instance
 
 	values   []value
 	prepared map[string]*prepared
 	tx       transaction
 	// op is the statement in progress.
 	op *operation
-	// written is the session's last commit, which its reads have to show.
-	written fleet.LogPosition
-	// closing, when set, ends the session at its next rest.
-	closing *ending
+	// lastCommit is the session's last commit, which its reads have to show.
+	lastCommit fleet.LogPosition
+	// pendingRejection, when set, ends the session at its next rest.
+	pendingRejection *rejection
 }
 
-// ending is what a session is told at its end.
-type ending struct {
+// rejection is what a session is told at its end.
+type rejection struct {
 	code   statement.Code
 	detail string
 }
@@ -67,35 +67,35 @@
 
 // prepared is a statement that the caller has prepared.
 type prepared struct {
-	shape statement.Definition
-	name  string
-	id    statement.ID
+	definition statement.Definition
+	name       string
+	id         statement.ID
 }
 
 // transaction is what a session knows of its open transaction.
 type transaction struct {
 	open, failed bool
 	read         bool
-	begin        statement.ID
-	// after is the point that the instance's log has to cover, if another host says so.
-	after fleet.Option[fleet.LogPosition]
-	// asked is when it began, at rest is when its last statement ended.
-	asked, rest time.Time
+	beginID      statement.ID
+	// requiredPosition is the point that the instance's log has to cover, if another host says so.
+	requiredPosition fleet.Option[fleet.LogPosition]
+	// begunAt is when it began, at idleSince is when its last statement ended.
+	begunAt, idleSince time.Time
 	// conn runs it, from its first statement on.
 	conn *Conn
-	// ran is set once an instance may have run any of it.
-	ran bool
-	// writes is set once a write of it may have been run.
-	writes bool
+	// mayHaveRun is set once an instance may have run any of it.
+	mayHaveRun bool
+	// mayHaveWritten is set once a write of it may have been run.
+	mayHaveWritten bool
 }
 
-// maxNames bounds the values and the prepared statements of one session, so that a
+// maxSessionEntries bounds the values and the prepared statements of one session, so that a
 // caller can't fill the memory of the host.
-const maxNames = 256
+const maxSessionEntries = 256
 
 // OpenSession takes in a new caller.
-func (r *Relay) OpenSession(l CallerConn) *Session {
-	s := &Session{r: r, link: l, prepared: map[string]*prepared{}, opened: r.now()}
+func (r *Relay) OpenSession(c CallerConn) *Session {
+	s := &Session{r: r, caller: c, prepared: map[string]*prepared{}, openedAt: r.now()}
 	r.sessions[s] = struct{}{}
 	return s
 }
@@ -110,18 +110,18 @@
 		return
 	}
 	s.database, s.key = d, k
-	if code, why := s.admitted(); code != statement.CodeNone {
-		s.reject(code, why)
+	if code, reason := s.authorise(); code != statement.CodeNone {
+		s.reject(code, reason)
 		return
 	}
 	s.started = true
-	s.link.Accept()
+	s.caller.Accept()
 }
 
-// admitted looks the caller up in the catalog in force.
-func (s *Session) admitted() (statement.Code, string) {
+// authorise looks the caller up in the catalog in force.
+func (s *Session) authorise() (statement.Code, string) {
 	c := s.r.catalog
-	if c == nil || s.r.drain.closing {
+	if c == nil || s.r.drain.closingSessions {
 		return statement.CodeBusy, "this host takes no sessions now; come back to another"
 	}
 	route, ok := c.Routes[s.database]
@@ -139,10 +139,10 @@
 	return statement.CodeNone, ""
 }
 
-// review looks at an open session after a change of the catalog. A withdrawn key ends
+// revalidate looks at an open session after a change of the catalog. A withdrawn key ends
 // it at its next rest; a changed route holds from the next operation on.
-func (s *Session) review() {
-	if !s.started || s.closing != nil {
+func (s *Session) revalidate() {
+	if !s.started || s.pendingRejection != nil {
 		return
 	}
 	c := s.r.catalog
@@ -152,55 +152,55 @@
 	if s.account == "" && s.route.Public {
 		return
 	}
-	s.closing = &ending{statement.CodeNoAccount, "the key was withdrawn"}
-	s.rest()
+	s.pendingRejection = &rejection{statement.CodeNoAccount, "the key was withdrawn"}
+	s.closeIfIdle()
 }
 
-// rest ends a session that is to end, if it is not at work.
-func (s *Session) rest() {
-	if s.closing == nil || s.op != nil || s.gone {
+// closeIfIdle ends a session that is to end, if it is not at work.
+func (s *Session) closeIfIdle() {
+	if s.pendingRejection == nil || s.op != nil || s.disconnected {
 		return
 	}
-	if s.tx.open && s.closing.code == statement.CodeBusy {
+	if s.tx.open && s.pendingRejection.code == statement.CodeBusy {
 		return
 	}
-	s.reject(s.closing.code, s.closing.detail)
+	s.reject(s.pendingRejection.code, s.pendingRejection.detail)
 }
 
-func (s *Session) reject(c statement.Code, why string) {
-	if s.gone {
+func (s *Session) reject(c statement.Code, reason string) {
+	if s.disconnected {
 		return
 	}
 	s.r.note(Event{
 		Kind: EventSession, Database: s.database, Account: s.account,
-		Choice: "reject", Reason: why, Code: c,
+		Choice: "reject", Reason: reason, Code: c,
 	})
-	s.link.Reject(c, why)
+	s.caller.Reject(c, reason)
 	s.Disconnected()
 }
 
-// end closes the connection of a caller that has nothing in progress.
-func (s *Session) end() {
-	s.link.Close()
+// close closes the connection of a caller that has nothing in progress.
+func (s *Session) close() {
+	s.caller.Close()
 	s.Disconnected()
 }
 
 // Disconnected takes in that the caller's connection has ended.
 func (s *Session) Disconnected() {
-	if s.gone {
+	if s.disconnected {
 		return
 	}
-	s.gone = true
+	s.disconnected = true
 	delete(s.r.sessions, s)
 	if s.op != nil {
 		s.op.abandon()
 		s.op = nil
 	}
-	s.release()
+	s.releaseConn()
 }
 
-// release gives up the connection of an open transaction, rolling it back.
-func (s *Session) release() {
+// releaseConn gives up the connection of an open transaction, rolling it back.
+func (s *Session) releaseConn() {
 	c := s.tx.conn
 	s.tx.conn = nil
 	if c != nil {
@@ -237,12 +237,12 @@
 		return
 	}
 	for s := range r.sessions {
-		if s.tx.conn != nil && s.op == nil && now.Sub(s.tx.rest) > r.catalog.TxIdle {
+		if s.tx.conn != nil && s.op == nil && now.Sub(s.tx.idleSince) > r.catalog.TxIdle {
 			r.note(Event{
 				Kind: EventSession, Database: s.database, Account: s.account, Service: s.route.Service,
-				Choice: "end the transaction", Reason: "it has rested for too long", Age: now.Sub(s.tx.rest),
+				Choice: "end the transaction", Reason: "it has rested for too long", Age: now.Sub(s.tx.idleSince),
 			})
-			s.fail()
+			s.failTransaction()
 		}
 	}
 }
--- a/core/relay/state.go
+++ b/core/relay/state.go
@@ -60,7 +60,7 @@
 	now := r.now()
 	s := State{
 		Sessions: len(r.sessions), RecordsCurrent: r.lease.RecordsCurrent(now), Coordinator: r.duty.holds, CutOff: r.CutOff(),
-		Drains: r.drain.on, Hosts: r.hosts, Counts: r.counts,
+		Drains: r.drain.started, Hosts: r.hostCount, Counts: r.counters,
 	}
 	if r.catalog != nil {
 		s.Catalog = r.catalog.Version
--- a/core/relay/tick.go
+++ b/core/relay/tick.go
@@ -33,13 +33,13 @@
 	for _, c := range g.proofs.Expire(now) {
 		g.unproved(c, "no proof in time that the primary has not been replaced")
 	}
-	if !now.Before(g.r.awake) {
+	if !now.Before(g.r.pauseGraceUntil) {
 		g.overdue(now)
 		g.watch(now)
 	}
 	g.decide(now)
 	for _, i := range g.instances {
-		i.sweep(now)
+		i.closeIdleConns(now)
 	}
 	g.askFor(now)
 	g.answerInquiries(now)
@@ -48,7 +48,7 @@
 	g.affirm(now)
 	g.follow(now)
 	if len(g.waiting) > 0 {
-		g.pump()
+		g.dispatch()
 	}
 }
 
@@ -78,7 +78,7 @@
 	for _, o := range g.waiting {
 		out = append(out, o)
 	}
-	slices.SortFunc(out, func(a, b *operation) int { return a.asked.Compare(b.asked) })
+	slices.SortFunc(out, func(a, b *operation) int { return a.startedAt.Compare(b.startedAt) })
 	return out
 }
 
@@ -88,12 +88,12 @@
 	for _, i := range g.instances {
 		for _, c := range slices.Clone(i.conns) {
 			switch {
-			case c.state == connDialling && now.Sub(c.since) > i.dialPatience(now):
+			case c.state == connDialling && now.Sub(c.stateSince) > i.dialPatience(now):
 				i.failed(now, "no answer to a new connection")
-				c.lost("no answer to a new connection")
-			case c.state == connBusy && len(c.owed) > 0 && quick(c.owed[0].kind) && now.Sub(c.owed[0].asked) > quietFor:
+				c.handleClose("no answer to a new connection")
+			case c.state == connBusy && len(c.pending) > 0 && quick(c.pending[0].kind) && now.Sub(c.pending[0].sentAt) > quietFor:
 				i.failed(now, "no answer to a question")
-				c.lost("no answer to a question")
+				c.handleClose("no answer to a question")
 			}
 		}
 	}
@@ -129,7 +129,7 @@
 		}
 		if i.failures > 0 && quiet > silentFor {
 			for _, c := range slices.Clone(i.conns) {
-				c.lost("the instance is silent")
+				c.handleClose("the instance is silent")
 			}
 		}
 	}
@@ -169,7 +169,7 @@
 	if p, ok := g.r.holder(i); ok {
 		if a, ok := g.anyAccount(); ok && p.Send != nil && now.Sub(i.askedAt) > askAgain {
 			i.askedAt = now
-			i.over(p, a).ask()
+			i.connVia(p, a).requestStatus()
 		}
 		return
 	}
@@ -179,9 +179,9 @@
 // probe asks an instance by a connection of this host's own, whoever holds it else: to
 // learn whether this host can reach it.
 func (g *group) probe(now time.Time, i *instance) {
-	if c := i.resting(); c != nil {
+	if c := i.longestIdle(); c != nil {
 		i.askedAt = now
-		c.ask()
+		c.requestStatus()
 		return
 	}
 	g.reach(now, i)
@@ -195,7 +195,7 @@
 	if now.Before(i.next) || slices.ContainsFunc(i.conns, func(c *Conn) bool { return c.state == connDialling }) {
 		return
 	}
-	if a, ok := g.anyAccount(); ok && len(i.conns) < i.cap(now) {
+	if a, ok := g.anyAccount(); ok && len(i.conns) < i.maxConns(now) {
 		i.dial(a)
 	}
 }
@@ -225,7 +225,7 @@
 	}
 	g.inquiries = append(g.inquiries, inquiry{i: i, term: t, until: now.Add(inquiryPatience), reply: reply})
 	g.answerInquiries(now)
-	g.r.hurry()
+	g.r.requestTick()
 }
 
 func unasked(why string) statement.Answer {
@@ -235,7 +235,7 @@
 // answerInquiries puts the questions that wait to instances with a connection at rest.
 func (g *group) answerInquiries(now time.Time) {
 	g.inquiries = slices.DeleteFunc(g.inquiries, func(q inquiry) bool {
-		if c := q.i.resting(); c != nil {
+		if c := q.i.longestIdle(); c != nil {
 			c.stepDown(q.term, q.reply)
 			return true
 		}
