--- a/core/relay/cold.go
+++ b/core/relay/cold.go
@@ -8,12 +8,12 @@
 	"skylarkdeal/core/statement"
 )
 
-// announceDelay is how long after an instance is back it may take until the store has its word, by
-// which it is told whether it is cold.
+// announceDelay is how long after an instance is back it may take until the store has its announcement,
+// which tells whether it is cold.
 const announceDelay = 1500 * time.Millisecond
 
-// isCold reports whether what is sent to the instance is bounded, as it has just started. One that
-// was lost and is back counts as cold until a reading of the list tells.
+// isCold reports whether the statements sent to the instance are limited, since it has just started. An
+// instance that was lost and is back counts as cold until a reading of the list tells.
 func (i *instance) isCold(now time.Time) bool {
 	if i.g.service.ColdRate <= 0 {
 		return false
@@ -22,7 +22,8 @@
 	return now.Before(i.coldUntil) || !i.back.IsZero() && known.Before(i.back.Add(announceDelay))
 }
 
-// canStart reports whether a new operation may be sent to the instance by this host's own connections.
+// canStart reports whether a new operation may be sent to the instance over this host's own
+// connections.
 func (i *instance) canStart(now time.Time) bool {
 	if !i.isCold(now) {
 		return true
@@ -31,7 +32,7 @@
 	return begin > 0 && i.g.r.maySendCold(i.info.DataCentre)
 }
 
-// canContinue reports whether the next statement of a transaction that it runs may be sent.
+// canContinue reports whether the next statement of a transaction on the instance may be sent.
 func (i *instance) canContinue(now time.Time) bool {
 	if !i.isCold(now) {
 		return true
@@ -42,8 +43,8 @@
 
 func (i *instance) coldLimit() int { return i.g.r.cfg.Cold.MaxStatements(i.g.service.ColdRate) }
 
-// countSent counts what is sent to the instance while it is cold; questions of the host's own take no
-// work.
+// countSent counts the callers' statements sent to the instance while it is cold. The proxy's own take
+// no work.
 func (i *instance) countSent(now time.Time, qs []statement.Statement) {
 	if !i.isCold(now) {
 		return
@@ -57,31 +58,31 @@
 	i.budget.Spend(now, n)
 }
 
-// maySendCold reports whether this host hears enough others to be the one that sends to the cold
+// maySendCold reports whether this host hears enough hosts to be the one that sends to the cold
 // instances of a data centre.
 func (r *Relay) maySendCold(dc fleet.DataCentre) bool {
 	known, heard := r.dataCentreSizes[dc], 0
-	all := known == 0
-	if all {
+	wholeFleet := known == 0
+	if wholeFleet {
 		for _, n := range r.dataCentreSizes {
 			known += n
 		}
 	}
-	if all || r.cfg.DataCentre == dc {
+	if wholeFleet || r.cfg.DataCentre == dc {
 		heard++
 	}
 	for _, p := range r.forwarding.peers {
-		if all || p.DataCentre == dc {
+		if wholeFleet || p.DataCentre == dc {
 			heard++
 		}
 	}
 	return known > 0 && cold.MaySend(heard, known)
 }
 
-// InstancesConfirmed takes in that the list of instances in use here was the store's at a moment.
+// InstancesConfirmed records that the list of instances in use matched the store at the given time.
 func (r *Relay) InstancesConfirmed(at time.Time) {
 	r.instancesConfirmedAt = later(r.instancesConfirmedAt, at)
 }
 
-// SetDataCentreSizes tells how many hosts each data centre has, heard or not, this one included.
+// SetDataCentreSizes sets how many hosts each data centre has, heard or not, this one included.
 func (r *Relay) SetDataCentreSizes(sizes map[fleet.DataCentre]int) { r.dataCentreSizes = sizes }
--- a/core/relay/conn.go
+++ b/core/relay/conn.go
@@ -11,7 +11,7 @@
 	"skylarkdeal/core/statement"
 )
 
-// connState is how far a connection has come.
+// connState is the state of a connection to an instance.
 type connState string
 
 const (
@@ -21,8 +21,8 @@
 	connClosed   connState = "closed"
 )
 
-// Conn is one connection to an instance, for one account. Send and Close are set by
-// whoever makes it.
+// Conn is one connection to an instance, for one account. Send and Close are set by Config.Dial, or by
+// connVia for a connection over another host.
 type Conn struct {
 	Service  fleet.Service
 	Instance fleet.Instance
@@ -34,40 +34,41 @@
 	g     *group
 	inst  *instance
 	state connState
-	// values and prepared are what the instance holds for the connection.
+	// values and prepared are the session state that the instance has for the connection.
 	values   map[string]string
 	prepared map[string]bool
-	// dirty is set once the instance has turned away what was to give the connection its values:
-	// it holds others than are noted here, such as another session's, and is to be used by no one.
+	// dirty is set once the instance has rejected statements that were to set up the connection: its
+	// state may differ from the one recorded here, and be that of another session, so that the
+	// connection isn't used again.
 	dirty bool
-	// pending are the answers that haven't come, in order.
+	// pending lists the answers that haven't arrived, in order.
 	pending []pendingReply
-	// op is the operation that the connection serves, session the one whose
-	// transaction it runs.
+	// op is the operation that runs on the connection, session the one whose transaction it runs.
 	op      *operation
 	session *Session
-	// stateSince is when the state began.
+	// stateSince is when the current state began.
 	stateSince time.Time
-	// reserved is set while the group chooses which operation is to have it.
+	// reserved is set while dispatch considers the connection for an operation.
 	reserved bool
-	// via is the other host that a connection runs over, empty for one of this host's own.
-	// stream names it there, and once tells that it ends with the next answer.
+	// via is the other host that the connection runs over, empty for a connection of this host's own.
+	// streamID names the stream there. streamOpened is set once the stream was opened, closesAfterReply
+	// if it ends with the next answer.
 	via                            fleet.Host
 	streamID                       uint64
 	streamOpened, closesAfterReply bool
 }
 
-// pendingReply is one answer that a connection owes.
+// pendingReply is a statement whose answer hasn't arrived.
 type pendingReply struct {
 	kind     statement.Kind
 	proxyOwn bool
 	sentAt   time.Time
-	// done takes the answer; it may be nil.
+	// done receives the answer; it may be nil.
 	done func(a statement.Answer)
 }
 
-// sharedName is the name under which all sessions share a prepared statement on the
-// connections to instances: those with equal shapes are the same.
+// sharedName returns the name under which all sessions share a prepared statement on the connections to
+// instances. Equal definitions have the same name.
 func sharedName(s statement.Definition) string {
 	kind := "r"
 	if s.Writes {
@@ -79,8 +80,8 @@
 // maxPrepared bounds the prepared statements of one connection.
 const maxPrepared = 512
 
-// setupStatements returns the statements that give the connection the session's values and the
-// prepared statement p.
+// setupStatements returns the statements that give the connection the session's values and prepare p.
+// They begin with a discard if the connection has other values or too many prepared statements.
 func (c *Conn) setupStatements(s *Session, p *prepared) []statement.Statement {
 	var out []statement.Statement
 	discard := len(c.prepared) >= maxPrepared
@@ -104,8 +105,8 @@
 	return out
 }
 
-// recordSetup notes what setup has done, and that the caller's own statements of it have
-// been forwarded: from now on they are repeated as the proxy's.
+// recordSetup records the effects of the setup statements qs, and that the caller's own statements
+// among them were sent: from then on they are repeated as the proxy's own.
 func (c *Conn) recordSetup(s *Session, p *prepared, qs []statement.Statement) {
 	for _, q := range qs {
 		switch q.Kind {
@@ -127,6 +128,7 @@
 	}
 }
 
+// unsentID returns id, or the ID of the proxy's own statements once it was sent with qs.
 func unsentID(id statement.ID, qs []statement.Statement) statement.ID {
 	if slices.ContainsFunc(qs, func(q statement.Statement) bool { return q.ID == id }) {
 		return ""
@@ -134,12 +136,12 @@
 	return id
 }
 
-// send hands statements to the instance. done takes the answer to the last one, each
-// the answers to those before.
+// send sends statements to the instance. done receives the answer to the last one, each the answers to
+// those before.
 func (c *Conn) send(qs []statement.Statement, each, done func(a statement.Answer)) {
 	now := c.g.r.now()
 	if c.via != "" {
-		// The other host answers the last one only.
+		// The other host answers only the last statement.
 		c.pending = append(c.pending, pendingReply{kind: qs[len(qs)-1].Kind, sentAt: now, done: done})
 		c.Send(qs)
 		return
@@ -157,7 +159,8 @@
 	c.Send(qs)
 }
 
-// ConnOpened takes in that the connection stands.
+// ConnOpened handles a connection that was made. a carries the instance's log position, if it has sent
+// one.
 func (r *Relay) ConnOpened(c *Conn, a statement.Answer) {
 	if c.state != connDialling {
 		return
@@ -173,7 +176,7 @@
 	c.g.dispatch()
 }
 
-// HandleAnswer takes in the next answer on a connection.
+// HandleAnswer handles the next answer on a connection.
 func (r *Relay) HandleAnswer(c *Conn, a statement.Answer) {
 	if c.state == connClosed {
 		return
@@ -194,7 +197,7 @@
 	c.g.dispatch()
 }
 
-// ConnectRefused takes in that the instance has refused the connection.
+// ConnectRefused handles the instance's refusal of a connection.
 func (r *Relay) ConnectRefused(c *Conn, code statement.Code, detail string) {
 	if c.state == connClosed {
 		return
@@ -207,7 +210,8 @@
 	c.handleClose("refused")
 }
 
-// ConnClosed takes in that the connection has ended or couldn't be made.
+// ConnClosed handles a connection that has ended or couldn't be made. err is nil if the instance closed
+// it.
 func (r *Relay) ConnClosed(c *Conn, err error) {
 	if c.state == connClosed {
 		return
@@ -223,7 +227,7 @@
 	c.inst.lost = c.inst.lost || len(c.inst.conns) == 0
 }
 
-// handleClose closes the connection and settles what ran on it.
+// handleClose closes the connection and settles the operation and the transaction that ran on it.
 func (c *Conn) handleClose(reason string) {
 	if c.state == connClosed {
 		return
@@ -250,13 +254,14 @@
 	c.g.dispatch()
 }
 
-// retire closes a connection that nothing runs on.
+// retire closes a connection on which nothing runs.
 func (c *Conn) retire() {
 	c.op, c.session = nil, nil
 	c.handleClose("retired")
 }
 
-// free gives the connection back once no transaction is open on it.
+// free makes the connection idle again once no transaction is open on it. It closes one that can't be
+// reused.
 func (c *Conn) free() {
 	c.op, c.session = nil, nil
 	if c.state == connClosed {
@@ -269,15 +274,15 @@
 	c.setState(connIdle)
 }
 
-// rollback ends the transaction that is open on the connection, and frees it.
+// rollback ends the transaction that is open on the connection, and frees the connection.
 func (c *Conn) rollback() {
 	c.session = nil
 	if c.state == connClosed {
 		return
 	}
 	if c.via != "" || len(c.pending) > 0 || c.inst.evacuationExpired(c.g.r.now()) {
-		// The other host rolls back when the stream ends, and the instance, which may still
-		// work on a statement or is to be sent nothing, when the connection does.
+		// The other host rolls back when the stream ends. The instance does when the connection ends:
+		// it may still be running a statement, or may not be sent anything any more.
 		c.op = nil
 		c.handleClose("given up in a transaction")
 		return
@@ -291,12 +296,12 @@
 	})
 }
 
-// requestStatus has the instance say what it is. It takes no slot: an order to step down below
-// term 1 changes nothing and is answered with the status.
+// requestStatus asks the instance for its status. It takes no slot: a request to step down below term 1
+// changes nothing and is answered with the status.
 func (c *Conn) requestStatus() { c.stepDown(0, nil) }
 
-// stepDown has a primary of a term below t step down, and tells what the instance says of
-// itself then; reply, which may be nil, takes its answer.
+// stepDown makes a primary of a term below t step down, and handles the status that the instance
+// answers with. reply, which may be nil, receives the answer.
 func (c *Conn) stepDown(t fleet.Term, reply func(a statement.Answer)) {
 	c.g.r.counters.Asked++
 	c.setState(connBusy)
--- a/core/relay/connections.go
+++ b/core/relay/connections.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// minConnections is how many connections a host may have to an instance at least: one for a
-	// transaction whose caller pauses, and one beside it.
+	// minConnections is the least bound of a host's connections to an instance: one for a transaction
+	// whose caller pauses, and another one beside it.
 	minConnections = 2
-	// discoveryPeriod is how long after its start a host waits to hear of the others before it
-	// takes more than one connection to instances that they may hold.
+	// discoveryPeriod is how long after its start a host waits to hear the other hosts before it makes
+	// more than one connection to instances that they may hold.
 	discoveryPeriod = 800 * time.Millisecond
-	// nonHolderIdleTimeout is how long a connection rests to an instance that another host holds.
+	// nonHolderIdleTimeout closes idle connections to an instance that another host holds.
 	nonHolderIdleTimeout = 200 * time.Millisecond
-	// nonHolderReserveDivisor is the part of an instance's connections that its holder leaves free in a fleet
-	// that has more hosts than half of them: a quarter. Only hosts that start have any there.
+	// nonHolderReserveDivisor sets the part of an instance's connections that its holder leaves free in
+	// a fleet that has more hosts than half of them: a quarter. Only hosts that have just started have
+	// connections there.
 	nonHolderReserveDivisor = 4
-	// tooManyHold is how long a host makes do with what it has after an instance had no
-	// room for more.
+	// tooManyHold is how long a host keeps to the connections that it has after an instance had no room
+	// for more.
 	tooManyHold = 3 * time.Second
-	// idleTimeout closes a borrowed connection that rests, so that others can have it.
+	// idleTimeout closes idle connections beyond the host's share, so that other hosts can use them.
 	idleTimeout = 2 * time.Second
 )
 
 // maxConns returns how many connections the host may have to the instance.
 //
-// One of the instance's connections for each host is left free. Hosts that lose power
-// reset nothing, and the instance holds on to their connections for 3 s; when they
-// return before that, they would find no room and could serve nobody. Measured with six
-// hosts and 16 connections, all hosts losing power: served in the two worst seconds 0.21
-// in place of 0.01, and no less on quiet days.
+// One of the instance's connections is left free for each host. Hosts that lose power close no
+// connections, and the instance keeps them for 3 s. Hosts that return earlier would find no room and
+// could serve no caller. With six hosts and 16 connections, after a loss of power of all hosts, the
+// share of statements served in the two worst seconds was 0.21 instead of 0.01, and no lower on quiet
+// days.
 func (i *instance) maxConns(now time.Time) int {
 	if i.g.r.forwarding.peersIncomplete {
 		return 0
@@ -44,11 +45,12 @@
 		(now.Sub(i.g.r.startedAt) < discoveryPeriod || minConnections*i.g.r.hostCount > i.connLimit()):
 		n = 1
 	case held && minConnections*i.g.r.hostCount > i.connLimit():
-		// For questions only: all hosts together would fill the instance with no statement.
+		// For status requests only: if all hosts had connections, they would fill the instance without
+		// running a statement.
 		n = 1
 	case !held:
-		// What the others have left over from before is closed soon: the pauses between the
-		// tries bound what asking again costs.
+		// Connections that other hosts still have are closed soon. The backoff bounds the cost of
+		// refusals until then.
 		return max(minConnections, i.connLimit()-i.nonHolderReserve())
 	}
 	if !i.full.IsZero() && now.Sub(i.full) < tooManyHold {
@@ -57,8 +59,8 @@
 	return n
 }
 
-// nonHolderReserve is how many connections the holder of an instance leaves free: one for each host, as
-// far as that leaves the holder a half.
+// nonHolderReserve returns how many connections the holder of an instance leaves free: one for each
+// host, as long as the holder keeps at least half.
 func (i *instance) nonHolderReserve() int {
 	if n := i.g.r.hostCount; n <= i.connLimit()/2 {
 		return n
@@ -69,12 +71,12 @@
 // defaultConnections stands for the limit of a service that isn't known yet.
 const defaultConnections = 8
 
-// connShare is the part of cap that is kept open.
+// connShare returns this host's even share of the connections, which is kept open.
 func (i *instance) connShare() int {
 	return max(1, (i.connLimit()-i.g.r.hostCount)/i.g.r.hostCount)
 }
 
-// connLimit is how many connections the instance takes from all hosts.
+// connLimit returns how many connections the instance accepts from all hosts together.
 func (i *instance) connLimit() int {
 	if n := i.g.service.Connections; n > 0 {
 		return n
@@ -82,7 +84,7 @@
 	return defaultConnections
 }
 
-// openConns counts the connections that are made.
+// openConns counts the connections that have been made.
 func (i *instance) openConns() int {
 	n := 0
 	for _, c := range i.conns {
@@ -97,8 +99,8 @@
 	i.conns = slices.DeleteFunc(i.conns, func(o *Conn) bool { return o == c })
 }
 
-// idleConn returns the resting connection of an account that needs the fewest statements
-// to serve s, and how many.
+// idleConn returns the idle connection of an account that needs the fewest setup statements to serve s,
+// and their number.
 func (i *instance) idleConn(a fleet.Account, s *Session, p *prepared) (*Conn, int) {
 	var best *Conn
 	least := 0
@@ -113,9 +115,9 @@
 	return best, least
 }
 
-// longestIdle returns the connection that has rested longest, of whatever account, but for those
-// that are offered to an operation: one that was closed to make room for another account
-// would be taken all the same, and what is sent on it is lost.
+// longestIdle returns the connection that has been idle longest, of any account, except for reserved
+// ones. A reserved connection that is closed to make room for another account would still be given to
+// its operation, and what is sent on it would be lost.
 func (i *instance) longestIdle() *Conn {
 	var best *Conn
 	for _, c := range i.conns {
@@ -126,7 +128,7 @@
 	return best
 }
 
-// dial has a connection made for an account.
+// dial starts a connection for an account.
 func (i *instance) dial(a fleet.Account) *Conn {
 	c := &Conn{
 		Service: i.g.name, Instance: i.info.Name, Address: i.info.Address, Account: a,
@@ -139,13 +141,12 @@
 	return c
 }
 
-// accountSwitchDelay is how long a connection of another account has to have rested, or half of
-// what an operation has to have waited, for the one to give way to the other: a new
-// connection takes 12 ms of the instance's time, which is not to be spent on every
-// statement of accounts that alternate.
+// accountSwitchDelay is how long a connection has to have been idle before it is closed in favour of
+// another account's operation, unless the operation has waited for twice as long. A new connection
+// takes 12 ms of the instance's time, which is too much for every statement of accounts that alternate.
 const accountSwitchDelay = 5 * time.Millisecond
 
-// connect makes a connection for an operation, if there is room.
+// connect starts a connection for an operation, if there is room.
 func (i *instance) connect(now time.Time, o *operation) *Conn {
 	paused := now.Before(i.next)
 	if paused && i.failures > 0 || i.saturated(o.s.account) {
@@ -165,10 +166,10 @@
 	return i.dial(o.s.account)
 }
 
-// saturated reports whether one more connection of an account would bring nothing: all slots
-// of the instance are taken, and one of the statements on them is the account's, whose
-// connection is free once it ends. A connection takes 12 ms of a slot, which is more than
-// most statements; made for each statement that waits, they took a third of a busy primary.
+// saturated reports whether another connection of an account would bring nothing: all slots of the
+// instance are taken, one of them by a statement of that account, whose connection is free once the
+// statement ends. A connection takes 12 ms of a slot, which is more than most statements take. When one
+// was made for each waiting statement, connections took a third of a busy primary's time.
 func (i *instance) saturated(a fleet.Account) bool {
 	running, own := 0, false
 	for _, c := range i.conns {
@@ -180,9 +181,9 @@
 	return own && running >= max(i.info.Slots, 1)
 }
 
-// evictable returns the resting connection that is to give way to one of account a: of the
-// account with the most connections, and of these the one that has rested longest. The last
-// connection of a small account would be missed at its next statement.
+// evictable returns the idle connection to close in favour of account a: of the account with the most
+// connections, the one that has been idle longest. The last connection of a small account would be
+// missing at its next statement.
 func (i *instance) evictable(a fleet.Account) *Conn {
 	counts := map[fleet.Account]int{}
 	for _, c := range i.conns {
@@ -201,7 +202,8 @@
 	return best
 }
 
-// closeIdleConns closes borrowed connections that rest and those to an instance that has gone.
+// closeIdleConns closes connections that have been idle for too long beyond the host's share, and idle
+// connections to an instance that was removed.
 func (i *instance) closeIdleConns(now time.Time) {
 	if len(i.conns) == 0 {
 		return
--- a/core/relay/drain.go
+++ b/core/relay/drain.go
@@ -6,21 +6,21 @@
 	"skylarkdeal/core/statement"
 )
 
-// drainState is how far the shutdown of the host has come.
+// drainState is the progress of the host's shutdown.
 type drainState struct {
 	started bool
-	// closingSessions is set once no session may go on.
+	// closingSessions is set once sessions are closed and no new one is accepted.
 	closingSessions bool
 	startedAt       time.Time
 	grace           time.Duration
 }
 
-// balancerReactionTime is how long a host that isn't ready any more keeps the sessions that it
-// has: the balancer asks once a second, and sends new ones elsewhere after two answers.
+// balancerReactionTime is how long a host that is no longer ready keeps its sessions: the balancer
+// checks once a second, and sends new sessions elsewhere after two negative answers.
 const balancerReactionTime = 2200 * time.Millisecond
 
-// Drain begins the shutdown: the host is no longer ready, and after a notice it closes
-// the sessions that rest. An open transaction gets half of the grace.
+// Drain begins the shutdown. The host is no longer ready, and closes idle sessions after the balancer's
+// reaction time. An open transaction may go on for half of grace.
 func (r *Relay) Drain(grace time.Duration) {
 	if r.drain.started {
 		return
@@ -28,10 +28,10 @@
 	r.drain = drainState{started: true, startedAt: r.now(), grace: grace}
 }
 
-// Draining reports whether the host shuts down.
+// Draining reports whether the host is shutting down.
 func (r *Relay) Draining() bool { return r.drain.started }
 
-// Drained reports whether no session is left.
+// Drained reports whether the shutdown has closed all sessions.
 func (r *Relay) Drained() bool {
 	return r.drain.closingSessions && len(r.sessions) == 0 && len(r.forwarding.inboundSessions) == 0
 }
--- a/core/relay/evacuation.go
+++ b/core/relay/evacuation.go
@@ -7,19 +7,19 @@
 	"skylarkdeal/core/fleet"
 )
 
-// evacuationDivisor is the part of the time for an evacuation that this host takes from when it learns of
-// it: a half. The other half is for learning of it.
+// evacuationDivisor sets the part of the evacuation timeout that begins when this host learns of the
+// evacuation: a half. The other half is for learning of it.
 const evacuationDivisor = 2
 
-// defaultEvacuationTimeout is the time for an evacuation where no other is set.
+// defaultEvacuationTimeout is the evacuation timeout if none is set.
 const defaultEvacuationTimeout = 5 * time.Second
 
-// setEvacuated takes in which data centres are to be left alone.
+// setEvacuated sets the data centres that are being evacuated.
 //
-// The load it is made for: operators who empty a data centre at full load. Reads move at once, as
-// replicas elsewhere have what they need. A primary goes on until another is promoted, and open
-// transactions get as long, but neither longer than the limit: then what only that instance could
-// run is refused.
+// Designed for operators who evacuate a data centre at full load. Reads move at once, since replicas
+// elsewhere have what they need. A primary continues until another instance is promoted, and open
+// transactions until then too, but neither beyond the timeout: after it, statements that only that
+// instance could run are refused.
 func (r *Relay) setEvacuated(c *catalog.Catalog) {
 	now := r.now()
 	if r.evacuated == nil {
@@ -28,7 +28,7 @@
 	for dc := range r.evacuated {
 		if !c.Evacuated.Has(dc) {
 			delete(r.evacuated, dc)
-			r.note(Event{Kind: EventInstance, DataCentre: dc, Choice: "use again", Reason: "its evacuation was taken back"})
+			r.note(Event{Kind: EventInstance, DataCentre: dc, Choice: "use again", Reason: "its evacuation was cancelled"})
 		}
 	}
 	for _, dc := range c.Evacuated.Sorted() {
@@ -55,25 +55,26 @@
 	return false
 }
 
-// evacuated reports whether the instance's data centre is to be left alone.
+// evacuated reports whether the instance's data centre is being evacuated.
 func (i *instance) evacuated() bool {
 	_, ok := i.g.r.evacuated[i.info.DataCentre]
 	return ok
 }
 
-// evacuationExpired reports whether the instance is to be sent nothing at all any more.
+// evacuationExpired reports whether the instance may not be sent anything any more.
 func (i *instance) evacuationExpired(now time.Time) bool {
 	since, ok := i.g.r.evacuated[i.info.DataCentre]
 	return ok && now.Sub(since) >= i.g.r.evacuationTimeout()
 }
 
-// acceptsNew reports whether new operations may be sent to the instance, as far as evacuations go: a
-// primary goes on for a while.
+// acceptsNew reports whether evacuations allow new operations on the instance. A primary accepts them
+// until the timeout.
 func (i *instance) acceptsNew(now time.Time) bool {
 	return !i.evacuated() || i.g.leads(i.info.Name) && !i.evacuationExpired(now)
 }
 
-// evacuationTimeout is how long after it has learnt of an evacuation this host may still send.
+// evacuationTimeout returns how long after it has learnt of an evacuation this host may still send
+// statements to the data centre.
 func (r *Relay) evacuationTimeout() time.Duration {
 	d := r.cfg.EvacuationTimeout
 	if d <= 0 {
@@ -82,8 +83,7 @@
 	return d / evacuationDivisor
 }
 
-// tickEvacuations ends the transactions that rest on instances which are to be sent nothing any
-// more.
+// tickEvacuations ends the idle transactions on instances that may not be sent anything any more.
 func (r *Relay) tickEvacuations(now time.Time) {
 	if len(r.evacuated) == 0 {
 		return
--- a/core/relay/forward.go
+++ b/core/relay/forward.go
@@ -10,91 +10,91 @@
 	"skylarkdeal/core/statement"
 )
 
-// Forward has another host run statements on an instance, on a stream that stands for a
-// connection of its own. Only the last statement is answered.
+// Forward asks another host to run statements on an instance, on a stream that acts as a connection of
+// its own. Only the last statement is answered.
 type Forward struct {
 	Stream     uint64
 	Service    fleet.Service
 	Instance   fleet.Instance
 	Account    fleet.Account
 	Statements []statement.Statement
-	// Left is how long the last statement may take, Wait how long it may wait for its turn: as
-	// long as Left if it is zero.
+	// Left is how long the last statement may take, Wait how long it may wait in the queue: as long as
+	// Left if it is zero.
 	Left, Wait time.Duration
-	// Open begins the stream. A stream that is not open is not begun by anything else: what
-	// belongs to a transaction must not run outside of it when the stream has ended.
+	// Open opens the stream. Nothing else does: a statement of a transaction must not run outside of it
+	// when the stream has ended.
 	Open bool
 	// Close ends the stream, after the answer if there are statements.
 	Close bool
 }
 
-// minForwardWait is what a forwarded operation may wait at least: less is nothing on the wire, and
-// would be taken for no limit.
+// minForwardWait is the least wait of a forwarded operation. A shorter one is zero on the wire, which
+// means no limit.
 const minForwardWait = time.Millisecond
 
-// PeerLinkID names a connection from another host. A host that was cut off may open a new one
-// before the end of the old one shows.
+// PeerLinkID identifies a connection from another host. A host that was cut off may open a new one
+// before the end of the old one is noticed.
 type PeerLinkID uint64
 
-// Peer is another host, as this one can use it.
+// Peer is another host and the link to it.
 type Peer struct {
 	Host       fleet.Host
 	DataCentre fleet.DataCentre
-	// Capacity is what it can carry.
+	// Capacity is what the host can carry, in processor cores; zero if it isn't known.
 	Capacity fleet.Capacity
-	// Send hands it a request. It is nil while there is no link to it.
+	// Send sends a request to the host. It is nil while there is no link to it.
 	Send func(f Forward)
 }
 
-// streamKey names a streamKey of another host.
+// streamKey identifies a stream that another host has opened.
 type streamKey struct {
 	link PeerLinkID
 	id   uint64
 }
 
-// forwarding is what a relay needs for running statements by and for other hosts.
+// forwarding is the state of running statements over and for other hosts.
 type forwarding struct {
 	peers []Peer
 	// peersByHost has the peers by their names.
 	peersByHost map[fleet.Host]Peer
-	// candidates are the hosts of each data centre that may hold connections; round counts their
-	// changes.
+	// candidates are the hosts of each data centre that may hold connections; candidatesVersion counts
+	// their changes.
 	candidates        map[fleet.DataCentre]candidates
 	candidatesVersion uint64
-	// missingHosts counts the hosts that ought to be there and aren't heard.
+	// missingHosts counts the hosts that are registered and not heard.
 	missingHosts int
 	// peersIncomplete is set while too few hosts are heard to tell which of them hold connections.
 	peersIncomplete bool
 	// isolated is set while no host of another data centre is heard, although there are some.
 	isolated bool
-	// forwardedConns are the connections over other hosts, guests the sessions run for them.
+	// forwardedConns are the connections over other hosts, inboundSessions the sessions that run for
+	// them.
 	forwardedConns  map[uint64]*Conn
 	inboundSessions map[streamKey]*Session
 }
 
-// minDirectShare is how many connections to each instance a host has to have for itself
-// when all are shared evenly, for callers not to wait for one too long. Below it, one
-// host holds the connections to an instance and runs the statements of all: a connection
+// minDirectShare is the least number of connections to an instance for each host, shared evenly, with
+// which each host uses its own. With fewer, callers would wait too long for a connection: one host, the
+// holder, then has all connections to the instance and runs the statements of all hosts. A connection
 // belongs to one account, and each change of account takes 12 ms of the instance's time.
 const minDirectShare = 3
 
-// deadHostConnTimeout is how long an instance holds on to the connections of a host that has lost
-// power, as the platform's pages tell.
+// deadHostConnTimeout is how long an instance keeps the connections of a host that has lost power, by
+// the documentation of the platform.
 const deadHostConnTimeout = 3 * time.Second
 
-// direct reports whether the host uses an instance by its own connections, as there are
-// enough for all hosts.
+// direct reports whether the host uses an instance over its own connections, since there are enough for
+// all hosts.
 //
-// A host that has just started can't have them: if all hosts have lost power, the instance
-// holds on to the connections of before for some seconds, and the few that are left are
-// worth more in one hand: one for an account in place of one for a host, where accounts
-// take turns by connecting anew and a transaction that pauses holds up all others.
+// A host that has recently started doesn't. If all hosts have lost power, the instance keeps their
+// former connections for some seconds. The few that are left are of more use to a single holder: it
+// needs one for an account instead of one for a host. With one for a host, accounts take turns by
+// reconnecting, and a transaction that pauses holds up all others.
 func (i *instance) direct(now time.Time) bool {
 	return i.connShare() >= minDirectShare && !i.g.r.recentlyStarted(now)
 }
 
-// SetPeers tells which other hosts are heard now, and how many are missing: those that
-// are registered and not heard.
+// SetPeers sets the other hosts that are heard now, and how many are missing: registered but not heard.
 func (r *Relay) SetPeers(ps []Peer, missing int) {
 	f := &r.forwarding
 	f.missingHosts = missing
@@ -116,22 +116,22 @@
 	f.peers = ps
 }
 
-// SetPeersIncomplete tells whether this host has just started in a large fleet and hears too few of its hosts
-// to tell which of them hold connections. It makes none of its own then, and uses those of the
-// holders that it hears.
+// SetPeersIncomplete sets whether this host has recently started in a large fleet and hears too few
+// hosts to tell which of them hold connections. While it is set, the host makes no connections of its
+// own and uses those of the holders that it hears.
 //
-// The load it is made for: hundreds of hosts that start at once. Each took itself for the holder
-// of instances whose holders it didn't hear yet, and together they filled all instances.
+// Designed for hundreds of hosts that start at once. Each host took itself for the holder of instances
+// whose holders it didn't hear yet, and together they filled all instances.
 func (r *Relay) SetPeersIncomplete(incomplete bool) { r.forwarding.peersIncomplete = incomplete }
 
-// SetIsolated tells whether no host of another data centre has been heard for a moment, although
-// there are some. An instance there that has answered outweighs that.
+// SetIsolated sets whether no host of another data centre was heard lately, although there are some. It
+// has no effect if an instance there has answered lately.
 func (r *Relay) SetIsolated(isolated bool) {
 	r.forwarding.isolated = isolated && !r.hearsRemoteInstance(r.now())
 }
 
-// hearsRemoteInstance reports whether an instance in another data centre has answered lately on a connection
-// of this host's own.
+// hearsRemoteInstance reports whether an instance in another data centre has answered lately on one of
+// this host's own connections.
 func (r *Relay) hearsRemoteInstance(now time.Time) bool {
 	for _, g := range r.groups {
 		for _, i := range g.instances {
@@ -143,19 +143,19 @@
 	return false
 }
 
-// isolated reports whether the host's data centre, or the host alone, looks cut off from all
-// else: nothing comes from the store nor from any host elsewhere.
+// isolated reports whether the host, or its whole data centre, seems to be cut off from everything
+// else: neither the store nor any host of another data centre is heard.
 //
-// The load it is made for: the callers of a data centre that is cut off, whose every statement
-// would wait for its time limit on instances elsewhere, one after the other, until each is known
-// to be silent. Either silence alone may have another cause, so both are needed; the process
-// itself must not have stood still.
+// Designed for the callers of a data centre that is cut off. Each of their statements would wait for
+// its timeout on instances elsewhere, one after the other, until each instance is known to be
+// unreachable. Either silence alone may have another cause, so both are required, and the process
+// itself must not have been paused.
 func (r *Relay) isolated(now time.Time) bool {
 	return r.forwarding.isolated && r.lease.StoreSilent(now) && !now.Before(r.pauseGraceUntil)
 }
 
-// canReach reports whether the instance can be used, by this host's own connections or
-// over another.
+// canReach reports whether the instance can be used, over this host's own connections or over another
+// host.
 func (r *Relay) canReach(now time.Time, i *instance) bool {
 	if !i.local() && r.isolated(now) {
 		return false
@@ -167,14 +167,14 @@
 	return held
 }
 
-// knowsNoHolder reports whether this host serves an instance for itself, although others may hold
-// its connections: it has not heard of them yet.
+// knowsNoHolder reports whether this host uses an instance by itself, although another host may hold
+// its connections, because it hasn't heard any other host yet.
 func (r *Relay) knowsNoHolder(i *instance) bool {
 	return !i.direct(r.now()) && len(r.forwarding.peers) == 0
 }
 
-// connVia returns a connection to the instance connVia another host. It costs nothing to make:
-// the other host finds the real one.
+// connVia returns a connection to the instance over another host. It costs nothing to make: the other
+// host finds the real connection.
 func (i *instance) connVia(p Peer, a fleet.Account) *Conn {
 	c := &Conn{
 		Service: i.g.name, Instance: i.info.Name, Address: i.info.Address, Account: a,
@@ -209,7 +209,7 @@
 	return c
 }
 
-// HandleForwardAnswer takes in the answer of another host.
+// HandleForwardAnswer handles another host's answer on a stream.
 func (r *Relay) HandleForwardAnswer(from fleet.Host, id uint64, a statement.Answer) {
 	c := r.forwarding.forwardedConns[id]
 	if c == nil || c.via != from {
@@ -218,9 +218,9 @@
 	r.HandleAnswer(c, a)
 }
 
-// tickForwarding gives up the questions that another host doesn't answer. They take no slot, and
-// that host answers within its own patience whatever it finds; one that stands still would have
-// them pile up, and an answer that comes much later tells of a time long past.
+// tickForwarding gives up status requests that another host doesn't answer. They take no slot, and that
+// host answers within a time limit in any case. They would pile up if it was paused, and an answer that
+// comes much later describes an outdated state.
 func (r *Relay) tickForwarding(now time.Time) {
 	for _, c := range r.forwarding.forwardedConns {
 		asks := len(c.pending) > 0 && c.pending[0].kind == statement.KindStepDown
@@ -230,8 +230,8 @@
 	}
 }
 
-// PeerLost takes in that the link to another host has ended: what it ran for this one has
-// an unknown outcome.
+// PeerLost handles the end of the link to another host. The outcome of what that host ran for this one
+// is unknown.
 func (r *Relay) PeerLost(h fleet.Host) {
 	for _, c := range r.forwarding.forwardedConns {
 		if c.via == h {
@@ -240,8 +240,8 @@
 	}
 }
 
-// InboundLinkClosed takes in that a link from another host has ended: what this one runs for it
-// is rolled back.
+// InboundLinkClosed handles the end of a link from another host. What this host runs for it is rolled
+// back.
 func (r *Relay) InboundLinkClosed(l PeerLinkID) {
 	for k, s := range r.forwarding.inboundSessions {
 		if k.link == l {
@@ -251,9 +251,9 @@
 	}
 }
 
-// HandleForward runs what another host asks for, and answers it by reply. The other host has
-// admitted the operation, chosen the instance and proves the answer; this one queues it
-// among its own, by account, and finds the connection.
+// HandleForward runs another host's request and passes the answer to reply. The other host has admitted
+// the operation and chosen the instance, and verifies the answer. This host queues the operation among
+// its own, by account, and finds the connection.
 func (r *Relay) HandleForward(from PeerLinkID, f Forward, reply func(a statement.Answer)) {
 	if len(f.Statements) == 1 && f.Statements[0].Kind == statement.KindStepDown {
 		r.group(f.Service).inquire(f.Instance, f.Statements[0].Term, reply)
--- a/core/relay/holder.go
+++ b/core/relay/holder.go
@@ -10,17 +10,18 @@
 	"skylarkdeal/core/fleet"
 )
 
-// candidates are the hosts of one data centre that may hold connections to instances: the strong
-// ones, and the rest, which do it while no strong one can.
+// candidates are the hosts of one data centre that may hold connections to instances. The weak ones do
+// so only while no strong one can.
 type candidates struct {
 	strong, weak []Peer
 }
 
-// strongDivisor is the part of the capacity of the strongest host from which on a host is strong.
+// strongDivisor sets the part of the strongest host's capacity from which on a host counts as strong: a
+// half.
 //
-// The load it is made for: a data centre of a few large hosts and many small ones. What all hosts
-// send to an instance goes through its holder, and would fill the processor or the link of a
-// small one, and have all callers of the instance wait.
+// Designed for a data centre with a few large hosts and many small ones. All that hosts send to an
+// instance goes through its holder, which would use up the processor or the network link of a small
+// host and make all callers of the instance wait.
 const strongDivisor = 2
 
 func groupCandidates(ps []Peer) map[fleet.DataCentre]candidates {
@@ -41,7 +42,8 @@
 	return out
 }
 
-// samePeer reports whether a and b are the same candidate. Links come and go more often.
+// samePeer reports whether a and b are the same candidate. It ignores their links, which change more
+// often.
 func samePeer(a, b Peer) bool {
 	return a.Host == b.Host && a.DataCentre == b.DataCentre && a.Capacity == b.Capacity
 }
@@ -50,30 +52,31 @@
 	return Peer{Host: r.cfg.Host, DataCentre: r.cfg.DataCentre, Capacity: r.cfg.Capacity}
 }
 
-// ranking is the order in which hosts are to hold an instance's connections, as of a round of
-// the candidates.
+// ranking is the order in which hosts are to hold an instance's connections, for one version of the
+// candidates.
 type ranking struct {
 	version uint64
 	centre  fleet.DataCentre
-	// preferred are the strong hosts of the instance's data centre, fallback those that come behind them,
-	// once that was asked for.
+	// preferred are the strong hosts of the instance's data centre. fallback are the hosts that come
+	// after them, nil until they are needed.
 	preferred, fallback []fleet.Host
-	// isProber is whether this host looks for itself when another one doubts the instance, nil
-	// until that was asked for.
+	// isProber is whether this host probes the instance itself when another host suspects it, nil until
+	// that is needed.
 	isProber *bool
 }
 
-// holder returns the host over which an instance is used, false for this one.
+// holder returns the host over which an instance is used, or false if this host uses its own
+// connections.
 //
-// One that has just started is used over one host whatever the connections, as only one can keep to
-// the rate that it bears.
+// An instance that has just started is used over one host regardless of its connections, since only a
+// single host can keep to the rate that the instance bears.
 //
-// Where connections suffice each host uses its own, unless it can't reach the instance
-// and another says that it can. Else one host holds them for all. The hosts of the
-// instance's data centre go before all others, as its statements cross the network once
-// either way; among them the strong ones, and then the highest hash decides, so that all hosts
-// that see the same peers choose alike. One that sees others chooses another holder: the
-// instance then has two, with fewer connections each, and no harm done.
+// If there are enough connections, each host uses its own, unless it can't reach the instance and
+// another host reports that it can. Otherwise one host holds them for all. The hosts of the instance's
+// data centre come before all others, since its statements cross the network once either way. Among
+// them the strong ones come first, then the highest rendezvous hash decides, so that all hosts with the
+// same peers choose the same holder. A host with other peers chooses another holder. The instance then
+// has two holders with fewer connections each, which does no harm.
 func (r *Relay) holder(i *instance) (Peer, bool) {
 	now := r.now()
 	reachable := !i.doubtful(now)
@@ -100,7 +103,7 @@
 	return r.forwarding.peersByHost[hosts[n]], true
 }
 
-// rank brings the ranking up to date.
+// rank updates the ranking after a change of the candidates or of the instance's data centre.
 func (i *instance) rank() {
 	f := &i.g.r.forwarding
 	if i.ranking.version == f.candidatesVersion && i.ranking.centre == i.info.DataCentre {
@@ -112,7 +115,7 @@
 	}
 }
 
-// rankFallback ranks the other hosts of the instance's data centre, and behind them the strong ones of
+// rankFallback ranks the weak hosts of the instance's data centre, and after them the strong hosts of
 // all others.
 func (i *instance) rankFallback() {
 	if i.ranking.fallback != nil {
@@ -128,6 +131,7 @@
 	i.ranking.fallback = append(i.rankByHash(f.candidates[i.info.DataCentre].weak), i.rankByHash(remote)...)
 }
 
+// rankByHash orders hosts by rendezvous hashing for the instance.
 func (i *instance) rankByHash(ps []Peer) []fleet.Host {
 	weights := make(map[fleet.Host]uint64, len(ps))
 	out := make([]fleet.Host, 0, len(ps))
@@ -143,8 +147,8 @@
 	return xxhash.Sum64String(string(h) + "/" + string(i))
 }
 
-// peerMayReach reports whether another host may be able to reach an instance: it hasn't said
-// that it can't. Where each host uses its own connections it has to have said that it can.
+// peerMayReach reports whether another host may be able to reach an instance: it hasn't reported it as
+// unreachable. Where each host uses its own connections, it has to have reported it as reachable.
 func (r *Relay) peerMayReach(now time.Time, h fleet.Host, i *instance) bool {
 	if now.Before(i.blocked[h]) {
 		return false
@@ -157,12 +161,12 @@
 	return !i.direct(now) || i.isCold(now) || current && d.reached.Has(i.info.Name)
 }
 
-// standbyHolders is how many hosts beside an instance's holder are wanted with it, so that the loss of
-// the holder costs no new links.
+// standbyHolders is how many hosts besides an instance's holder are linked to in advance, so that the
+// loss of the holder requires no new links.
 const standbyHolders = 1
 
-// Holders returns the hosts over which this one uses instances, or would if their holders were
-// lost: those to which links are worth keeping.
+// Holders returns the hosts over which this host uses instances, or would if their holders were lost:
+// links to them are to be kept.
 func (r *Relay) Holders() fleet.Set[fleet.Host] {
 	out := fleet.NewSet[fleet.Host]()
 	for _, g := range r.groups {
@@ -182,41 +186,41 @@
 	return out
 }
 
-// maxProbers is how many hosts look for themselves whether they reach an instance that another
-// one doubts: enough of several data centres to tell a cut from a death.
+// maxProbers is how many hosts probe an instance themselves when another host suspects it: enough hosts
+// of several data centres to tell a network partition from the death of the instance.
 //
-// The load it is made for: hundreds of hosts that hear of the same doubt. If each made a
-// connection to find out, the instance would have no room left for statements.
+// Designed for hundreds of hosts that receive the same report. If each of them made a connection to
+// check it, the instance would have no room left for statements.
 const maxProbers = 16
 
-// isProber reports whether this host is one of those that look for themselves.
+// isProber reports whether this host probes a suspected instance itself.
 func (r *Relay) isProber(i *instance) bool {
 	i.rank()
 	if i.ranking.isProber == nil {
-		own, before := rendezvousWeight(r.cfg.Host, i.info.Name), 0
+		own, higher := rendezvousWeight(r.cfg.Host, i.info.Name), 0
 		for _, p := range r.forwarding.peers {
 			if rendezvousWeight(p.Host, i.info.Name) > own {
-				before++
+				higher++
 			}
 		}
-		first := before < maxProbers
-		i.ranking.isProber = &first
+		chosen := higher < maxProbers
+		i.ranking.isProber = &chosen
 	}
 	return *i.ranking.isProber
 }
 
-// leavesProbeToHolder reports whether this host leaves it to others to find out whether the instance can be reached:
-// it has just started, and another one holds the connections.
+// leavesProbeToHolder reports whether this host leaves it to other hosts to probe the instance: it has
+// recently started, and another host holds the connections.
 //
-// The load it is made for: all hosts that start at once after a loss of power. The instance still has the
-// connections of before, and the few that are left are the holder's: those that all others made to
-// look for themselves kept it from serving anybody for three seconds.
+// Designed for all hosts starting at once after a loss of power. The instance still has the former
+// connections, and the few that are left belong to the holder. When all other hosts connected to probe
+// the instance themselves, it could serve no caller for three seconds.
 func (i *instance) leavesProbeToHolder(now time.Time) bool {
 	_, held := i.g.r.holder(i)
 	return held && i.g.r.recentlyStarted(now)
 }
 
-// recentlyStarted reports whether instances may still have the connections of a process before this one.
+// recentlyStarted reports whether instances may still have the connections of an earlier process.
 func (r *Relay) recentlyStarted(now time.Time) bool {
 	return now.Sub(r.startedAt) < deadHostConnTimeout
 }
--- a/core/relay/operation.go
+++ b/core/relay/operation.go
@@ -11,7 +11,7 @@
 	"skylarkdeal/core/statement"
 )
 
-// operation is one statement on its way to an instance and back.
+// operation is one statement of a session, from its arrival to its answer.
 type operation struct {
 	s        *Session
 	g        *group
@@ -19,37 +19,37 @@
 	prepared *prepared
 	route    catalog.Route
 	key      uint64
-	// writes is set for what may change data, and is sent at most once.
+	// writes is set for a statement that may change data. It is sent at most once.
 	writes bool
-	// needsPrimary is set for what only the primary can answer.
+	// needsPrimary is set for a statement that only the primary can answer.
 	needsPrimary bool
 	// beginsTx is set for the first statement of a transaction.
 	beginsTx bool
 
 	startedAt, deadline time.Time
 	regions             allowedRegions
-	// asOf is the moment before which acknowledged commits have to be shown by a read.
+	// A read has to show all commits that were acknowledged before asOf.
 	asOf     time.Time
 	attempts int
 	excluded fleet.Set[fleet.Instance]
 
-	// conn runs the operation, dialling is being made for it.
+	// conn runs the operation. dialling is a connection that is being made for it.
 	conn, dialling *Conn
-	// sent is set once the statement itself has been handed to the instance, at sentAt.
+	// sent is set once the statement itself was sent to the instance, at sentAt.
 	sent   bool
 	sentAt time.Time
 	// everSent is set once it was sent to any instance.
 	everSent bool
-	// requiredPosition is the point that the read was sent with.
+	// requiredPosition is the log position that the read was sent with.
 	requiredPosition fleet.Option[fleet.LogPosition]
-	// unverifiedAnswer waits for its proof.
+	// unverifiedAnswer is the answer whose verification is pending.
 	unverifiedAnswer *statement.Answer
 	// finished is set once the caller has its answer.
 	finished bool
 }
 
-// maxAttempts bounds how often one statement is sent off. Three instances and one more
-// try after a change of primary are all there is to try.
+// maxAttempts bounds how often one statement is sent. There are three instances to try, and one more
+// attempt after a promotion.
 const maxAttempts = 6
 
 func newOperation(s *Session, q statement.Statement, p *prepared) *operation {
@@ -80,7 +80,7 @@
 		o.regions.account = s.r.catalog.Accounts[s.account].AllowedRegions
 	}
 	if s.boundInstance != "" {
-		// The host that asks has seen to its homes.
+		// The requesting host has checked the regions.
 		o.regions = allowedRegions{}
 		o.requiredPosition = q.After
 		if s.tx.open {
@@ -90,7 +90,7 @@
 	return o
 }
 
-// start sends the operation off, or has it wait for a connection.
+// start sends the operation on the connection of its transaction, or queues it.
 func (o *operation) start() {
 	o.s.op, o.s.lastRefused = o, false
 	if c := o.s.tx.conn; o.s.tx.open && c != nil {
@@ -108,8 +108,8 @@
 	o.enqueue()
 }
 
-// blockedReason says why the next statement of a transaction may not be sent on the connection that runs it;
-// nothing if it may.
+// blockedReason returns why the next statement of a transaction may not be sent on the connection that
+// runs it, empty if it may.
 func (o *operation) blockedReason(c *Conn) string {
 	now := o.g.r.now()
 	switch {
@@ -122,7 +122,7 @@
 	}
 }
 
-// enqueue queues the operation.
+// enqueue queues the operation, or refuses it if it can't be served in time.
 func (o *operation) enqueue() {
 	now := o.g.r.now()
 	if reason, retryAfter := o.g.hopeless(now, o); reason != "" {
@@ -149,17 +149,16 @@
 	}
 }
 
-// maxWaitTargets is how many times its route's target an operation may wait for its turn.
+// maxWaitTargets is how long an operation may wait in the queue, in multiples of its route's target.
 //
-// It is made for more work than the instances can do: replicas far behind and all reads
-// on the primary, or a burst. What has waited for longer is late for its caller
-// already, and each late answer makes the next one late. Its caller is told to come back
-// instead, while there is time. With both replicas behind, a burst and a flood, callers
-// got 0.871 of what they were owed, 0.831 with twice the target (means of three runs), and
-// less with four times.
+// Designed for more work than the instances can do, such as a burst, or replicas so far behind that all
+// reads go to the primary. An operation that has waited for longer is late already, and each late
+// answer delays the next one. Its caller is told to retry later instead, while there is time. With both
+// replicas behind, a burst and a flood, callers got 0.871 of the answers that were due, 0.831 with
+// twice the target (means of three runs), and less with four times.
 const maxWaitTargets = 1
 
-// waitDeadline is until when the operation may wait for its turn.
+// waitDeadline returns until when the operation may wait in the queue.
 func (o *operation) waitDeadline() time.Time {
 	if o.route.Target <= 0 {
 		return o.deadline
@@ -178,7 +177,7 @@
 	return exchange.IntentRead
 }
 
-// queueWeight is the account's share of a queue against the others': its rate.
+// queueWeight returns the weight of the account in the queue: its rate.
 func (o *operation) queueWeight() float64 {
 	if c := o.g.r.catalog; c != nil {
 		return max(c.Accounts[o.s.account].Rate, 1)
@@ -186,7 +185,7 @@
 	return 1
 }
 
-// runOn takes the connection that was found.
+// runOn runs the operation on a connection.
 func (o *operation) runOn(c *Conn) {
 	delete(o.g.waiting, o.key)
 	o.g.running[o.key] = o
@@ -203,12 +202,11 @@
 	o.execute()
 }
 
-// execute gives the connection the session's values and then sends the statement.
+// execute sets up the connection for the session, and then sends the statement.
 //
-// A statement must not run where setting a value or beginning a transaction has failed:
-// it would show other rows, or commit on its own. So it is sent once these are answered.
-// What is only to be prepared goes ahead of it at once, as an instance that lacks the
-// prepared statement refuses to run it.
+// A statement must not run where setting a value or beginning a transaction has failed: it would return
+// other rows, or commit on its own. So it is sent once these are answered. Prepare statements are sent
+// ahead of it without waiting, since an instance that lacks the prepared statement refuses to run it.
 func (o *operation) execute() {
 	c := o.conn
 	qs := c.setupStatements(o.s, o.prepared)
@@ -216,7 +214,7 @@
 	if o.s.boundInstance == "" {
 		s, ok := o.replicaRequirement()
 		if !ok && !o.anyPosition() {
-			// Nothing tells any more which point the log has to cover.
+			// No sample tells any more which position the log has to cover.
 			o.setupFailed(statement.CodeLagging, statement.TxNone)
 			return
 		}
@@ -225,12 +223,12 @@
 			o.requiredPosition = fleet.Some(s.Position)
 		}
 	}
-	sets := len(qs)
+	setupCount := len(qs)
 	if o.beginsTx {
 		qs = append(qs, o.beginStatement())
 	}
 	if !needsReply(qs) || c.via != "" {
-		// Another host sees to the order itself.
+		// The other host keeps to this order itself.
 		o.sendStatement(qs)
 		return
 	}
@@ -243,7 +241,7 @@
 		if failed == statement.CodeNone {
 			failed = a.Code
 		}
-		c.dirty = c.dirty || answered <= sets
+		c.dirty = c.dirty || answered <= setupCount
 	}
 	c.send(qs, each, func(a statement.Answer) {
 		each(a)
@@ -275,11 +273,11 @@
 	return b
 }
 
-// anyPosition reports whether the instance may run the operation wherever its log ends.
+// anyPosition reports whether the instance may run the operation regardless of its log position.
 func (o *operation) anyPosition() bool { return o.needsPrimary || o.g.leads(o.conn.Instance) }
 
-// replicaRequirement is the point that the instance's log has to cover, for a read on a replica, and whether
-// there is one.
+// replicaRequirement returns the sample whose position the instance's log has to cover, or false if
+// there is none, as for a read on the primary.
 func (o *operation) replicaRequirement() (staleness.Sample, bool) {
 	if o.anyPosition() {
 		return staleness.Sample{}, false
@@ -287,7 +285,7 @@
 	return o.g.requiredSample(o)
 }
 
-// sendStatement sends the statement itself, behind ahead.
+// sendStatement sends the statement itself, after those in ahead.
 func (o *operation) sendStatement(ahead []statement.Statement) {
 	q := o.q
 	if !o.s.tx.open {
@@ -309,8 +307,8 @@
 	o.conn.send(ahead, nil, o.answered)
 }
 
-// setupFailed handles a connection that could not be made ready: nothing was run. One on
-// which a transaction had begun is left to it.
+// setupFailed handles a connection that couldn't be set up; the statement was not run. A connection on
+// which the transaction had begun is left to the transaction.
 func (o *operation) setupFailed(code statement.Code, state statement.TxState) {
 	c := o.conn
 	o.g.refusedBy(c, code, o)
@@ -321,7 +319,7 @@
 		c.freeIf(reusable && state == statement.TxNone)
 	}
 	if o.s.boundInstance != "" && !o.txBegun() && code.NotRun() {
-		// Only the host that asks can choose another instance.
+		// Only the requesting host can choose another instance.
 		o.leave(o.g.r.now(), 0)
 		o.refuse(code, "the instance has turned it away", retrySoon)
 		return
@@ -329,11 +327,10 @@
 	o.again(code)
 }
 
-// txBegun reports whether an instance has run any of the operation's transaction before it.
+// txBegun reports whether an instance has run an earlier statement of the operation's transaction.
 func (o *operation) txBegun() bool { return o.s.tx.open && !o.beginsTx }
 
-// freeIf frees a connection whose last answer tells that all is well with it, and
-// closes any other.
+// freeIf frees a connection that its last answer shows to be reusable, and closes any other.
 func (c *Conn) freeIf(reusable bool) {
 	if reusable {
 		c.free()
--- a/core/relay/place.go
+++ b/core/relay/place.go
@@ -9,8 +9,8 @@
 	"skylarkdeal/core/staleness"
 )
 
-// requiredSample returns the point that a read has to cover on a replica, with what it was taken from,
-// and whether it is known.
+// requiredSample returns the sample whose position a replica has to cover for a read, or false if none
+// is known.
 func (g *group) requiredSample(o *operation) (staleness.Sample, bool) {
 	s, ok := g.samples.Oldest(o.asOf)
 	if !ok {
@@ -22,7 +22,7 @@
 	return s, true
 }
 
-// dispatch starts what can be started.
+// dispatch starts the requests and operations that can be started now.
 func (g *group) dispatch() {
 	if g.pumping {
 		return
@@ -55,21 +55,21 @@
 }
 
 const (
-	// latencyMaxAge is how long a measured time counts: an instance that was slow is tried
-	// again after it.
+	// latencyMaxAge is how long a measured latency counts. An instance that was slow is tried again
+	// after it.
 	latencyMaxAge = 2 * time.Second
-	// lagBackoffMin is how long an instance that lacked a point is passed over, at first; it is
-	// about how far replicas usually are behind. lagPauseMax bounds it.
+	// lagBackoffMin is how long an instance that lacked a required position is skipped at first: about
+	// the usual lag of replicas. lagBackoffMax bounds that time.
 	lagBackoffMin = 60 * time.Millisecond
 	lagBackoffMax = time.Second
 )
 
-// chooseConn returns the connection on which an operation is to run now, or nil. It begins
-// to connect where that is better than what there is.
+// chooseConn returns the connection on which an operation is to run now, or nil. It starts a new
+// connection if that costs less than the connections that there are.
 //
-// The load it is made for: few slots on each instance, one of them slow or far behind,
-// accounts that each need connections of their own. Callers would wait behind one
-// slow instance while the others rest, so the expected wait decides.
+// Designed for few slots on each instance, one of which is slow or far behind, and accounts that each
+// need connections of their own. Callers would wait for a slow instance while others are idle, so the
+// expected wait decides.
 func (g *group) chooseConn(now time.Time, o *operation) *Conn {
 	if o == nil {
 		return nil
@@ -109,8 +109,8 @@
 	return ready.inst.connVia(ready.peer, o.s.account)
 }
 
-// path is how an operation can reach an instance: by a connection that rests, over another
-// host, or by a connection that is to be made.
+// path is one way to reach an instance: an idle connection, another host, or a connection that is still
+// to be made.
 type path struct {
 	inst *instance
 	conn *Conn
@@ -141,8 +141,8 @@
 	return ok && i.joined(s) && (i.point.Covers(s.Position) || i.mayTry(now, o))
 }
 
-// pathTo returns how an operation can reach an instance now, false while the link to its holder
-// is being made.
+// pathTo returns the path of an operation to an instance, or false if there is none now: the link to
+// its holder is being made, or the instance has just started and bears no more.
 func (g *group) pathTo(now time.Time, i *instance, o *operation) (path, bool) {
 	w := path{inst: i}
 	leads := g.leads(i.info.Name)
--- a/core/relay/query.go
+++ b/core/relay/query.go
@@ -11,8 +11,7 @@
 	s.caller.Answer(statement.Answer{State: s.state()})
 }
 
-// refuse answers that a statement was not run, and when to come back. In a transaction
-// that fails it.
+// refuse answers that a statement was not run, and when to retry. An open transaction fails.
 func (s *Session) refuse(c statement.Code, reason string, retryAfter time.Duration) {
 	if s.tx.open {
 		s.failTransaction()
@@ -27,8 +26,7 @@
 	s.releaseConn()
 }
 
-// Query takes the caller's next statement. Whoever calls it keeps the one after it
-// until this one is answered.
+// Query handles the caller's next statement. It must not be called again before this one is answered.
 func (s *Session) Query(q statement.Statement) {
 	if !s.started {
 		s.reject(statement.CodeMalformed, "a statement before the start of the session")
@@ -84,8 +82,8 @@
 	s.acknowledge()
 }
 
-// begin opens a transaction. No instance hears of it before its first statement, which
-// then finds the connection, so that a caller who pauses here holds none.
+// begin opens a transaction. Nothing is sent to an instance before its first statement, which then
+// finds the connection, so that a caller who pauses here holds none.
 func (s *Session) begin(q statement.Statement) {
 	if s.tx.open {
 		s.refuse(statement.CodeMalformed, "a transaction is open already", 0)
@@ -102,7 +100,8 @@
 	s.acknowledge()
 }
 
-// admit begins an operation: by the route, the key and the rate that are in force now.
+// admit starts an operation by the route, the key and the rate that are in effect now. If one of them
+// forbids it, admit answers the statement and returns false.
 func (s *Session) admit(id statement.ID) bool {
 	if s.boundInstance != "" {
 		return true
@@ -134,7 +133,7 @@
 	s.closeIfIdle()
 }
 
-// run has an instance run a read, a write or a commit.
+// run runs a read, a write or a commit on an instance.
 func (s *Session) run(q statement.Statement) {
 	var p *prepared
 	if q.Kind == statement.KindExecute {
@@ -152,7 +151,7 @@
 	newOperation(s, q, p).start()
 }
 
-// checkCommit reports whether a commit is to be run, and else answers it.
+// checkCommit reports whether a commit is to be run, and answers it otherwise.
 func (s *Session) checkCommit() bool {
 	switch {
 	case !s.tx.open:
--- a/core/relay/regions.go
+++ b/core/relay/regions.go
@@ -5,17 +5,17 @@
 	"skylarkdeal/core/fleet"
 )
 
-// allowedRegions are the regions that one operation may enter: those that its route and its account both
+// allowedRegions are the regions that an operation may enter: those that its route and its account both
 // allow.
 type allowedRegions struct {
 	route, account catalog.AllowedRegions
 }
 
-// restricted reports whether the operation may not go everywhere.
+// restricted reports whether there are regions that the operation may not enter.
 func (a allowedRegions) restricted() bool { return len(a.route)+len(a.account) > 0 }
 
-// allowsRegion reports whether the operation may be read and run in a data centre. One whose region isn't
-// known is in none.
+// allowsRegion reports whether the operation may be read and run in a data centre. A data centre of
+// unknown region is in none.
 func (r *Relay) allowsRegion(a allowedRegions, dc fleet.DataCentre) bool {
 	if !a.restricted() {
 		return true
@@ -24,8 +24,8 @@
 	return a.route.Allow(region) && a.account.Allow(region)
 }
 
-// hasAllowedInstance reports whether any instance that could run an operation stands in a region that it may
-// enter.
+// hasAllowedInstance reports whether any instance that could run the operation is in a region that the
+// operation may enter.
 func (g *group) hasAllowedInstance(o *operation) bool {
 	if !o.regions.restricted() {
 		return true
@@ -42,17 +42,18 @@
 	return false
 }
 
-// outsideRegion reports whether an instance stands where some database of the service may not be served.
+// outsideRegion reports whether an instance is in a region where some database of the service may not
+// be served.
 func (g *group) outsideRegion(i *instance) bool {
-	for _, h := range g.confined {
-		if !g.r.allowsRegion(allowedRegions{route: h}, i.info.DataCentre) {
+	for _, a := range g.confined {
+		if !g.r.allowsRegion(allowedRegions{route: a}, i.info.DataCentre) {
 			return true
 		}
 	}
 	return false
 }
 
-// setRegions takes in which databases of each service may not be served everywhere.
+// setRegions sets the regions to which databases of each service are restricted.
 func (r *Relay) setRegions(c *catalog.Catalog) {
 	for _, g := range r.groups {
 		g.confined = nil
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay is the middle of a host: it takes the statements of callers' sessions,
-// runs them on connections to instances, and gives back answers that hold. It decides
-// without sockets, clocks or goroutines: whoever owns a Relay calls it from one
-// goroutine with what has happened, and it calls back by function fields.
+// Package relay is the core of a host. It routes the statements of callers' sessions to database
+// instances over pooled connections, and returns only answers that it can verify. It uses no sockets,
+// clocks or goroutines: a single goroutine calls a Relay with events, and the Relay calls back through
+// the function fields of its Config.
 package relay
 
 import (
@@ -15,50 +15,51 @@
 	"skylarkdeal/core/statement"
 )
 
-// Config is what a Relay works with.
+// Config holds the settings and the callbacks of a Relay.
 type Config struct {
 	Host       fleet.Host
 	DataCentre fleet.DataCentre
-	// Capacity is what the host can carry.
+	// Capacity is what the host can carry, in processor cores; zero if it isn't known.
 	Capacity fleet.Capacity
-	// Regions are those of the data centres.
+	// Regions maps each data centre to its region.
 	Regions map[fleet.DataCentre]fleet.Region
-	// EvacuationTimeout is how long after operators have asked for it nothing may reach the instances of an
-	// evacuated data centre any more; zero stands for 5 s.
+	// EvacuationTimeout is how long after an operator's request statements may still reach the
+	// instances of an evacuated data centre; zero stands for 5 s.
 	EvacuationTimeout time.Duration
 	// Cold bounds what all hosts together send to an instance that has just started.
 	Cold cold.Limit
 	Now  func() time.Time
-	// Dial has a connection made; ConnOpened, ConnectRefused or ConnClosed tells how it went.
+	// Dial starts a connection. ConnOpened, ConnectRefused or ConnClosed reports the result.
 	Dial func(c *Conn)
-	// Admit takes one operation from an account's rate, or says when to come back.
+	// Admit takes one operation from the account's rate limit. If none is left, ok is false and wait
+	// tells when to retry.
 	Admit func(a catalog.Account) (wait time.Duration, ok bool)
-	// Refund gives an operation back to its account's rate that no instance has run.
+	// Refund returns an operation that no instance has run to the account's rate limit.
 	Refund func(a fleet.Account)
-	// ParseStatus reads the answer to a status.
+	// ParseStatus parses the answer to a status request.
 	ParseStatus func(a statement.Answer) (statement.Status, bool)
-	// RefreshRecords asks for the records of orders to be read anew.
+	// RefreshRecords requests that the records of promotion requests are read again.
 	RefreshRecords func()
-	// RequestPromotion has a change of primary made.
+	// RequestPromotion requests a promotion.
 	RequestPromotion func(o leader.PromotionRequest)
-	// ObserveLatency takes in the time that a statement took, with how it ended. It may be nil.
+	// ObserveLatency receives how long a statement took and the code that it ended with. It may be nil.
 	ObserveLatency func(k catalog.Consistency, code statement.Code, took time.Duration)
-	// RequestTick asks for the next tick soon, as something has begun to wait for it.
+	// RequestTick requests the next tick soon, since something now waits for it. It may be nil.
 	RequestTick func()
-	// LogEvent takes in each decision that a reader of the logs may ask for. It may be nil.
+	// LogEvent receives each decision that is worth logging. It may be nil.
 	LogEvent func(e Event)
 }
 
-// Relay is one host's middle.
+// Relay routes the statements of one host's sessions. It isn't safe for concurrent use.
 type Relay struct {
 	cfg      Config
 	catalog  *catalog.Catalog
 	sessions map[*Session]struct{}
 	groups   map[fleet.Service]*group
 	lease    leader.Lease
-	// startedAt is when the relay was made.
+	// startedAt is when the Relay was created.
 	startedAt time.Time
-	// hostCount is the most hostCount that there were lately, at hostsAt.
+	// hostCount is the highest number of hosts reported lately, hostCountAt when it was reported.
 	hostCount   int
 	hostCountAt time.Time
 	lastKey     uint64
@@ -66,20 +67,20 @@
 	drain       drainState
 	duty        duty
 	forwarding  forwarding
-	// lastTick is when the last tick was, pauseGraceUntil until when time limits rest after a pause
-	// of the process itself.
+	// lastTick is when Tick last ran. After a pause of the process, timeouts aren't enforced until
+	// pauseGraceUntil.
 	lastTick, pauseGraceUntil time.Time
-	// cutOffSince is since when the host is cutOffSince off, zero while it isn't.
+	// cutOffSince is since when the host is cut off, zero while it isn't.
 	cutOffSince time.Time
-	// evacuated are the data centres that are to be left alone, since when this host knows.
+	// evacuated maps each evacuated data centre to when this host learnt of the evacuation.
 	evacuated map[fleet.DataCentre]time.Time
 	// dataCentreSizes counts the hosts of each data centre, heard or not.
 	dataCentreSizes map[fleet.DataCentre]int
-	// instancesConfirmedAt is when the list of instances in use was last known to be the store's.
+	// instancesConfirmedAt is when the list of instances in use was last known to match the store.
 	instancesConfirmedAt time.Time
 }
 
-// Counters are running totals, for metrics.
+// Counters are totals since the start of the process, for metrics and the state dump.
 type Counters struct {
 	Statements    uint64 `json:"statements"`
 	Answered      uint64 `json:"answered"`
@@ -91,7 +92,7 @@
 	Asked         uint64 `json:"asked"`
 }
 
-// New returns a Relay without a catalog, which lets nobody in yet.
+// New returns a Relay without a catalog. It rejects all sessions until SetCatalog is called.
 func New(cfg Config) *Relay {
 	return &Relay{
 		startedAt: cfg.Now(),
@@ -107,14 +108,15 @@
 
 func (r *Relay) now() time.Time { return r.cfg.Now() }
 
-// defaultHostCount stands for the number of hosts until it is known.
+// defaultHostCount is the number of hosts that is assumed until SetHostCount is called.
 const defaultHostCount = 8
 
-// hostCountDecreaseDelay is how long a host that has gone still counts: it may be cut off, or on its
-// way back, and finds no room on the instances where others have taken its part.
+// hostCountDecreaseDelay is how long a departed host still counts. It may be cut off or about to
+// return, and would find no room on the instances if other hosts had taken its connections.
 const hostCountDecreaseDelay = 20 * time.Second
 
-// SetHostCount tells how many hosts there are, which share the instances' connections.
+// SetHostCount sets the number of hosts that share the instances' connections. A lower number takes
+// effect after hostCountDecreaseDelay.
 func (r *Relay) SetHostCount(n int) {
 	now := r.now()
 	if r.hostCountAt.IsZero() || n >= r.hostCount || now.Sub(r.hostCountAt) > hostCountDecreaseDelay {
@@ -122,14 +124,14 @@
 	}
 }
 
-// LeaseRenewed takes in a renewal of this host's registration that was sent at some
-// moment and has succeeded.
+// LeaseRenewed records that a renewal of this host's registration, sent at the given time, has
+// succeeded.
 func (r *Relay) LeaseRenewed(sent time.Time) { r.lease.Renewed(sent) }
 
-// LeaseLost takes in that the registration has ended: an order may have been given.
+// LeaseLost records that the registration has ended: a promotion may have been requested since.
 func (r *Relay) LeaseLost() { r.lease.Lost() }
 
-// AddRecord takes in the record of an order.
+// AddRecord adds the record of a promotion request. It ignores one that isn't newer than the last.
 func (r *Relay) AddRecord(rec leader.Record) {
 	g := r.group(rec.Service)
 	if !g.belief.AddRecord(rec) {
@@ -137,7 +139,7 @@
 	}
 	r.note(Event{
 		Kind: EventLeader, Service: g.name, Instance: rec.Primary,
-		Choice: "follow the order", Reason: "host " + string(rec.By) + " has ordered a change of primary",
+		Choice: "follow the promotion request", Reason: "host " + string(rec.By) + " has requested a promotion",
 		Term: rec.Term,
 	})
 	g.changedAt = r.now()
@@ -145,8 +147,8 @@
 	g.dispatch()
 }
 
-// SetInstances takes in all instances as they announce themselves, by a reading that was begun at some
-// moment.
+// SetInstances sets the registered instances of all services, from a reading of the list that was begun
+// at the given time.
 func (r *Relay) SetInstances(is []catalog.Instance, readAt time.Time) {
 	byService := map[fleet.Service][]catalog.Instance{}
 	for _, i := range is {
@@ -160,7 +162,8 @@
 	}
 }
 
-// SetCatalog puts a catalog in force. An older one than that in force is ignored.
+// SetCatalog puts a catalog into effect and reports whether it did. A catalog that isn't newer than the
+// current one is ignored.
 func (r *Relay) SetCatalog(c *catalog.Catalog) bool {
 	if !c.Newer(r.catalog) {
 		return false
@@ -177,8 +180,8 @@
 	return true
 }
 
-// Ready reports whether the host can serve: it knows a catalog and, for each service,
-// an instance.
+// Ready reports whether the host can serve: it has a catalog, knows an instance of each service, is not
+// shutting down and not cut off.
 func (r *Relay) Ready() bool {
 	if r.catalog == nil || r.drain.started || r.CutOff() {
 		return false
@@ -191,16 +194,15 @@
 	return true
 }
 
-// cutOffAfter is how long a host can't answer for half of its services, nor reach the
-// store, before it counts as cut off. A false alarm costs nothing as long as it ends
-// before the balancer asks twice.
+// cutOffAfter is how long a host can't answer for half of its services, nor reach the store, before it
+// counts as cut off. A false alarm has no effect if it ends before the balancer checks twice.
 const cutOffAfter = 300 * time.Millisecond
 
-// CutOff reports whether this host can do less for its callers than others may: it reaches
-// neither the store nor the primaries of half of its services; of any, if hosts are
-// missing, which may be on the better side of a cut. The balancer then sends new sessions
-// to other hosts, and to other data centres if all hosts here are cut off. With the store
-// down for all and one primary dead nobody is better off, and no host is missing.
+// CutOff reports whether other hosts may serve callers better than this one: it reaches neither the
+// store nor the primaries of half of its services, or of any service if hosts are missing, since those
+// may be on the better side of a network partition. The balancer then sends new sessions to other
+// hosts, and to other data centres if all hosts here are cut off. With the store down for all hosts and
+// one primary dead, no host is better off and none is missing.
 func (r *Relay) CutOff() bool {
 	now := r.now()
 	secluded := r.isolated(now)
@@ -225,7 +227,7 @@
 	return g
 }
 
-// Tick looks at all that depends on the time. It is to be called every few ms.
+// Tick handles everything that depends on the time. It is to be run every few ms.
 func (r *Relay) Tick() {
 	now := r.now()
 	if gap := now.Sub(r.lastTick); gap > pauseThreshold && !r.lastTick.IsZero() {
@@ -241,10 +243,9 @@
 	r.tickSessions(now)
 }
 
-// tickCutOff closes the sessions that rest on a host that is cut off, once the balancer
-// sends them elsewhere. Those that come afterwards stay as long as they are served: the
-// balancer has no other host for them, as when all hosts believe that others are better
-// off.
+// tickCutOff closes the idle sessions of a host that is cut off, once the balancer sends new sessions
+// elsewhere. Sessions that are opened later stay as long as they are served: the balancer has no other
+// host for them, for example because all hosts count themselves as cut off.
 func (r *Relay) tickCutOff(now time.Time) {
 	if !r.CutOff() {
 		r.cutOffSince = time.Time{}
@@ -268,8 +269,8 @@
 	}
 }
 
-// pauseThreshold is the time between two ticks from which on the process itself was held up.
-// The answers that came meanwhile are still unread then, and would look late.
+// pauseThreshold is the gap between two ticks from which on the process itself was paused. Answers that
+// arrived during the pause are then still unread, and would look late.
 const pauseThreshold = 120 * time.Millisecond
 
 func (r *Relay) requestTick() {
@@ -278,7 +279,7 @@
 	}
 }
 
-// HasWaiting reports whether anything waits that a tick may decide on.
+// HasWaiting reports whether anything waits for a decision that a tick may make.
 func (r *Relay) HasWaiting() bool {
 	for _, g := range r.groups {
 		if len(g.waiting)+len(g.inquiries)+g.proofs.Len() > 0 || !g.unsure.AskedAt.IsZero() {
@@ -291,11 +292,11 @@
 	return r.drain.started
 }
 
-// checksPrimary reports whether this host has a part in finding out why a group's primary can't answer:
-// the duty, or connections of its own.
+// checksPrimary reports whether this host helps to find out why a group's primary can't answer: it is
+// the failover coordinator, or has connections of its own to the group.
 //
-// The load it is made for: hundreds of hosts, nearly all of which use a group over its holders.
-// While one of many groups has no primary, quick ticks of theirs bring nothing.
+// Designed for hundreds of hosts, nearly all of which use a group over its holders. While one of many
+// groups has no primary, frequent ticks on those hosts bring nothing.
 func (g *group) checksPrimary() bool {
 	if g.r.duty.holds {
 		return true
@@ -313,10 +314,9 @@
 	return r.lastKey
 }
 
-// queueLimits are those of the operations of one group that wait on this host.
+// queueLimits bound the operations of one group that wait on this host.
 //
-// They are made for many callers who come at once: what waits longer than a caller's
-// patience is worked off for nothing. The two slots of an instance work off about 200
-// statements of 9 ms a second, so 64 of one account and 256 in all are about as many
-// as end within a second on the instances of a group.
+// Designed for many callers at once: an operation that waits longer than its caller does is run for
+// nothing. The two slots of an instance run about 200 statements of 9 ms a second, so 64 operations of
+// one account and 256 in total are about as many as end within a second on the instances of a group.
 var queueLimits = admit.Limits{PerAccount: 64, Total: 256, Slots: 6, WriteSlots: 2, LongAfter: time.Hour}
--- a/core/relay/session.go
+++ b/core/relay/session.go
@@ -8,36 +8,36 @@
 	"skylarkdeal/core/statement"
 )
 
-// CallerConn is the way to one caller.
+// CallerConn is the connection to one caller.
 type CallerConn struct {
-	// Accept lets the caller in.
+	// Accept tells the caller that its session has started.
 	Accept func()
-	// Answer gives the answer to the statement in progress.
+	// Answer sends the answer to the statement in progress.
 	Answer func(a statement.Answer)
-	// Reject sends a last message and closes.
+	// Reject sends a final error and closes the connection.
 	Reject func(c statement.Code, detail string)
-	// Close closes without a word.
+	// Close closes the connection without a message.
 	Close func()
 }
 
-// Session is one caller's connection.
+// Session is the state of one caller's connection.
 type Session struct {
 	r            *Relay
 	caller       CallerConn
 	started      bool
 	disconnected bool
-	// openedAt is when the caller connected, turned whether its last operation was refused.
+	// openedAt is when the caller connected, lastRefused whether its last operation was refused.
 	openedAt    time.Time
 	lastRefused bool
 
 	database catalog.Database
 	key      catalog.Key
 	account  fleet.Account
-	// route is the one in force since the last operation began.
+	// route is the catalog's route as of the start of the last operation.
 	route catalog.Route
 
-	// boundInstance is set for a session that is run for another host: all that it runs goes
-	// there.
+	// boundInstance is set for a session that runs for another host: all its statements go to that
+	// instance.
 	boundInstance fleet.Instance
 
 	values   []value
@@ -45,55 +45,56 @@
 	tx       transaction
 	// op is the statement in progress.
 	op *operation
-	// lastCommit is the session's last commit, which its reads have to show.
+	// lastCommit is the log position of the session's last commit, which its reads have to cover.
 	lastCommit fleet.LogPosition
-	// pendingRejection, when set, ends the session at its next rest.
+	// pendingRejection, if set, ends the session as soon as it is idle.
 	pendingRejection *rejection
 }
 
-// rejection is what a session is told at its end.
+// rejection is the error that ends a session.
 type rejection struct {
 	code   statement.Code
 	detail string
 }
 
-// value is a session value that its caller has set.
+// value is a session value that the caller has set.
 type value struct {
 	name, value string
-	// id is the caller's statement; it is forwarded as such once, and repeated on other
+	// id is that of the caller's statement. The statement is sent under it once, and repeated on other
 	// connections as the proxy's own.
 	id statement.ID
 }
 
-// prepared is a statement that the caller has prepared.
+// prepared is a prepared statement of the caller.
 type prepared struct {
 	definition statement.Definition
 	name       string
 	id         statement.ID
 }
 
-// transaction is what a session knows of its open transaction.
+// transaction is the state of a session's open transaction.
 type transaction struct {
 	open, failed bool
 	read         bool
 	beginID      statement.ID
-	// requiredPosition is the point that the instance's log has to cover, if another host says so.
+	// requiredPosition is the log position that the instance has to cover, if another host requires
+	// one.
 	requiredPosition fleet.Option[fleet.LogPosition]
-	// begunAt is when it began, at idleSince is when its last statement ended.
+	// begunAt is when it began, idleSince when its last statement ended.
 	begunAt, idleSince time.Time
-	// conn runs it, from its first statement on.
+	// conn is the connection that runs it, from its first statement on.
 	conn *Conn
-	// mayHaveRun is set once an instance may have run any of it.
+	// mayHaveRun is set once an instance may have run any of its statements.
 	mayHaveRun bool
 	// mayHaveWritten is set once a write of it may have been run.
 	mayHaveWritten bool
 }
 
-// maxSessionEntries bounds the values and the prepared statements of one session, so that a
-// caller can't fill the memory of the host.
+// maxSessionEntries bounds the values, and the prepared statements, of one session, so that a caller
+// can't fill the memory of the host.
 const maxSessionEntries = 256
 
-// OpenSession takes in a new caller.
+// OpenSession opens a session for a new caller. It takes statements once Start has accepted it.
 func (r *Relay) OpenSession(c CallerConn) *Session {
 	s := &Session{r: r, caller: c, prepared: map[string]*prepared{}, openedAt: r.now()}
 	r.sessions[s] = struct{}{}
@@ -103,7 +104,7 @@
 // Busy reports whether a statement of the session is in progress.
 func (s *Session) Busy() bool { return s.op != nil }
 
-// Start lets the caller in by the database and the key that it names, or not.
+// Start accepts or rejects the caller by the database and the key that it has named.
 func (s *Session) Start(d catalog.Database, k catalog.Key) {
 	if s.started {
 		s.reject(statement.CodeMalformed, "the session has started already")
@@ -118,7 +119,8 @@
 	s.caller.Accept()
 }
 
-// authorise looks the caller up in the catalog in force.
+// authorise looks up the caller's route and account in the current catalog. While a transaction is open
+// both stay as they are. It returns the code and the reason of a rejection, or CodeNone.
 func (s *Session) authorise() (statement.Code, string) {
 	c := s.r.catalog
 	if c == nil || s.r.drain.closingSessions {
@@ -139,8 +141,8 @@
 	return statement.CodeNone, ""
 }
 
-// revalidate looks at an open session after a change of the catalog. A withdrawn key ends
-// it at its next rest; a changed route holds from the next operation on.
+// revalidate checks an open session after a change of the catalog. A withdrawn key ends the session
+// once it is idle; a changed route takes effect with the next operation.
 func (s *Session) revalidate() {
 	if !s.started || s.pendingRejection != nil {
 		return
@@ -156,7 +158,8 @@
 	s.closeIfIdle()
 }
 
-// closeIfIdle ends a session that is to end, if it is not at work.
+// closeIfIdle ends a session that has a pending rejection, unless a statement is in progress. A
+// shutdown waits for an open transaction too.
 func (s *Session) closeIfIdle() {
 	if s.pendingRejection == nil || s.op != nil || s.disconnected {
 		return
@@ -185,7 +188,8 @@
 	s.Disconnected()
 }
 
-// Disconnected takes in that the caller's connection has ended.
+// Disconnected handles the end of the caller's connection: its statement is abandoned and its
+// transaction rolled back.
 func (s *Session) Disconnected() {
 	if s.disconnected {
 		return
@@ -199,7 +203,7 @@
 	s.releaseConn()
 }
 
-// releaseConn gives up the connection of an open transaction, rolling it back.
+// releaseConn gives up the connection of an open transaction, which is rolled back.
 func (s *Session) releaseConn() {
 	c := s.tx.conn
 	s.tx.conn = nil
@@ -208,7 +212,8 @@
 	}
 }
 
-// HandleMalformed answers a line that isn't one of the protocol's.
+// HandleMalformed answers a message that isn't valid in the protocol. One without an id, or before the
+// start of the session, ends the session.
 func (s *Session) HandleMalformed(id statement.ID) {
 	if !s.started || id == "" {
 		s.reject(statement.CodeMalformed, "not a message of the protocol")
@@ -217,7 +222,7 @@
 	s.refuse(statement.CodeMalformed, "not a statement of the protocol", 0)
 }
 
-// state is that of the session's transaction.
+// state returns the state of the session's transaction.
 func (s *Session) state() statement.TxState {
 	switch {
 	case s.tx.failed:
@@ -229,8 +234,8 @@
 	}
 }
 
-// tickSessions ends transactions that have rested for too long, and sessions of a host
-// that shuts down.
+// tickSessions ends transactions that were idle for too long, and sessions of a host that is shutting
+// down.
 func (r *Relay) tickSessions(now time.Time) {
 	r.tickDrain(now)
 	if r.catalog == nil || r.catalog.TxIdle <= 0 {
@@ -240,7 +245,7 @@
 		if s.tx.conn != nil && s.op == nil && now.Sub(s.tx.idleSince) > r.catalog.TxIdle {
 			r.note(Event{
 				Kind: EventSession, Database: s.database, Account: s.account, Service: s.route.Service,
-				Choice: "end the transaction", Reason: "it has rested for too long", Age: now.Sub(s.tx.idleSince),
+				Choice: "end the transaction", Reason: "it was idle for too long", Age: now.Sub(s.tx.idleSince),
 			})
 			s.failTransaction()
 		}
