--- a/core/relay/drain.go
+++ b/core/relay/drain.go
@@ -57,7 +57,7 @@
 	}
 	switch {
 	case !s.tx.open:
-		s.close()
+		s.closeConn()
 	case age >= r.drain.grace/2:
 		s.tx.failed = true
 		s.reject(statement.CodeAborted, "the host shuts down; the transaction was rolled back")
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -264,7 +264,7 @@
 	for s := range r.sessions {
 		if s.started && s.op == nil && !s.tx.open &&
 			(s.lastRefused || s.openedAt.Before(r.cutOffSince.Add(balancerReactionTime))) {
-			s.close()
+			s.closeConn()
 		}
 	}
 }
--- a/core/relay/session.go
+++ b/core/relay/session.go
@@ -182,8 +182,8 @@
 	s.Disconnected()
 }
 
-// close closes the connection of a caller that has nothing in progress.
-func (s *Session) close() {
+// closeConn closes the connection of a caller that has nothing in progress.
+func (s *Session) closeConn() {
 	s.caller.Close()
 	s.Disconnected()
 }
