--- a/core/relay/cold.go
+++ b/core/relay/cold.go
@@ -41,6 +41,7 @@
 	return all > 0
 }
 
+// coldLimit returns how many statements a second this host may send to the instance while it is cold.
 func (i *instance) coldLimit() int { return i.g.r.cfg.Cold.MaxStatements(i.g.service.ColdRate) }
 
 // countSent counts the callers' statements sent to the instance while it is cold. The proxy's own take
--- a/core/relay/connections.go
+++ b/core/relay/connections.go
@@ -14,16 +14,17 @@
 	// discoveryPeriod is how long after its start a host waits to hear the other hosts before it makes
 	// more than one connection to instances that they may hold.
 	discoveryPeriod = 800 * time.Millisecond
-	// nonHolderIdleTimeout closes idle connections to an instance that another host holds.
+	// nonHolderIdleTimeout is how long a connection to an instance that another host holds may be idle.
 	nonHolderIdleTimeout = 200 * time.Millisecond
-	// nonHolderReserveDivisor sets the part of an instance's connections that its holder leaves free in
-	// a fleet that has more hosts than half of them: a quarter. Only hosts that have just started have
-	// connections there.
+	// nonHolderReserveDivisor sets how many of an instance's connections its holder leaves free in a
+	// fleet with more hosts than half of the connections: a quarter. Only hosts that have just started
+	// have connections there.
 	nonHolderReserveDivisor = 4
 	// tooManyHold is how long a host keeps to the connections that it has after an instance had no room
 	// for more.
 	tooManyHold = 3 * time.Second
-	// idleTimeout closes idle connections beyond the host's share, so that other hosts can use them.
+	// idleTimeout is how long a connection beyond the host's share may be idle. It is then closed, so
+	// that other hosts can make one.
 	idleTimeout = 2 * time.Second
 )
 
--- a/core/relay/evacuation.go
+++ b/core/relay/evacuation.go
@@ -7,8 +7,8 @@
 	"skylarkdeal/core/fleet"
 )
 
-// evacuationDivisor sets the part of the evacuation timeout that begins when this host learns of the
-// evacuation: a half. The other half is for learning of it.
+// evacuationDivisor divides the evacuation timeout: after it has learnt of an evacuation, a host may
+// still send for half of the timeout. The other half is for learning of it.
 const evacuationDivisor = 2
 
 // defaultEvacuationTimeout is the evacuation timeout if none is set.
--- a/core/relay/forward.go
+++ b/core/relay/forward.go
@@ -73,14 +73,14 @@
 	inboundSessions map[streamKey]*Session
 }
 
-// minDirectShare is the least number of connections to an instance for each host, shared evenly, with
-// which each host uses its own. With fewer, callers would wait too long for a connection: one host, the
-// holder, then has all connections to the instance and runs the statements of all hosts. A connection
-// belongs to one account, and each change of account takes 12 ms of the instance's time.
+// minDirectShare is the least number of connections per host, if those to an instance are shared
+// evenly, with which each host uses its own. With fewer, callers would wait too long for a connection,
+// so one host, the holder, has all connections to the instance and runs the statements of all hosts. A
+// connection belongs to one account, and each change of account takes 12 ms of the instance's time.
 const minDirectShare = 3
 
-// deadHostConnTimeout is how long an instance keeps the connections of a host that has lost power, by
-// the documentation of the platform.
+// deadHostConnTimeout is how long an instance keeps the connections of a host that has lost power,
+// according to the platform's documentation.
 const deadHostConnTimeout = 3 * time.Second
 
 // direct reports whether the host uses an instance over its own connections, since there are enough for
@@ -219,8 +219,8 @@
 }
 
 // tickForwarding gives up status requests that another host doesn't answer. They take no slot, and that
-// host answers within a time limit in any case. They would pile up if it was paused, and an answer that
-// comes much later describes an outdated state.
+// host answers within a time limit in any case. They would pile up if that host was paused, and an
+// answer that comes much later describes an outdated state.
 func (r *Relay) tickForwarding(now time.Time) {
 	for _, c := range r.forwarding.forwardedConns {
 		asks := len(c.pending) > 0 && c.pending[0].kind == statement.KindStepDown
--- a/core/relay/holder.go
+++ b/core/relay/holder.go
@@ -16,8 +16,8 @@
 	strong, weak []Peer
 }
 
-// strongDivisor sets the part of the strongest host's capacity from which on a host counts as strong: a
-// half.
+// strongDivisor defines strong hosts: those with at least half of the capacity of the strongest host in
+// their data centre.
 //
 // Designed for a data centre with a few large hosts and many small ones. All that hosts send to an
 // instance goes through its holder, which would use up the processor or the network link of a small
@@ -220,7 +220,8 @@
 	return held && i.g.r.recentlyStarted(now)
 }
 
-// recentlyStarted reports whether instances may still have the connections of an earlier process.
+// recentlyStarted reports whether instances may still have the connections of an earlier process of
+// this host.
 func (r *Relay) recentlyStarted(now time.Time) bool {
 	return now.Sub(r.startedAt) < deadHostConnTimeout
 }
--- a/core/relay/operation.go
+++ b/core/relay/operation.go
@@ -293,7 +293,7 @@
 	}
 	o.sent, o.sentAt = true, o.g.r.now()
 	if _, ok := o.requiredPosition.Get(); ok && o.s.boundInstance == "" && o.g.changing(o.sentAt) {
-		o.logEvent(EventPlace, "read a replica", "its log is to cover the point", statement.CodeNone)
+		o.logEvent(EventPlace, "read a replica", "its log has to cover the required position", statement.CodeNone)
 	}
 	o.everSent, o.s.tx.mayHaveRun = true, true
 	if o.s.tx.open {
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -269,7 +269,7 @@
 	}
 }
 
-// pauseThreshold is the gap between two ticks from which on the process itself was paused. Answers that
+// pauseThreshold is the gap between two ticks above which the process counts as paused. Answers that
 // arrived during the pause are then still unread, and would look late.
 const pauseThreshold = 120 * time.Millisecond
 
