--- a/core/relay/connections.go
+++ b/core/relay/connections.go
@@ -8,81 +8,85 @@
 )
 
 const (
-	// leastCap is how many connections a host may have to an instance at least: one for a
-	// transaction whose caller pauses, and one beside it.
-	leastCap = 2
-	// acquaintance is how long after its start a host waits to hear of the others before it
-	// takes more than one connection to instances that they may hold.
-	acquaintance = 800 * time.Millisecond
-	// strayFor is how long a connection rests to an instance that another host holds.
-	strayFor = 200 * time.Millisecond
-	// strayPart is the part of an instance's connections that its holder leaves free in a fleet
-	// that has more hosts than half of them: a quarter. Only hosts that start have any there.
-	strayPart = 4
-	// fullFor is how long a host makes do with what it has after an instance had no
-	// room for more.
-	fullFor = 3 * time.Second
-	// restFor closes a borrowed connection that rests, so that others can have it.
-	restFor = 2 * time.Second
+	// minConnections is the least bound of a host's connections to an instance: one for a transaction
+	// whose caller pauses, and another one beside it.
+	minConnections = 2
+	// discoveryPeriod is how long after its start a host waits to hear the other hosts before it makes
+	// more than one connection to instances that they may hold.
+	discoveryPeriod = 800 * time.Millisecond
+	// nonHolderIdleTimeout is how long a connection to an instance that another host holds may be idle.
+	nonHolderIdleTimeout = 200 * time.Millisecond
+	// nonHolderReserveDivisor sets how many of an instance's connections its holder leaves free in a
+	// fleet with more hosts than half of the connections: a quarter. Only hosts that have just started
+	// have connections there.
+	nonHolderReserveDivisor = 4
+	// tooManyHold is how long a host keeps to the connections that it has after an instance had no room
+	// for more.
+	tooManyHold = 3 * time.Second
+	// idleTimeout is how long a connection beyond the host's share may be idle. It is then closed, so
+	// that other hosts can make one.
+	idleTimeout = 2 * time.Second
 )
 
-// cap returns how many connections the host may have to the instance.
+// maxConns returns how many connections the host may have to the instance.
 //
-// One of the instance's connections for each host is left free. Hosts that lose power
-// reset nothing, and the instance holds on to their connections for 3 s; when they
-// return before that, they would find no room and could serve nobody. Measured with six
-// hosts and 16 connections, all hosts losing power: served in the two worst seconds 0.21
-// in place of 0.01, and no less on quiet days.
-func (i *instance) cap(now time.Time) int {
-	if i.g.r.forwarding.unsure {
+// One of the instance's connections is left free for each host. Hosts that lose power close no
+// connections, and the instance keeps them for 3 s. Hosts that return earlier would find no room and
+// could serve no caller. With six hosts and 16 connections, after a loss of power of all hosts, the
+// share of statements served in the two worst seconds was 0.21 instead of 0.01, and no lower on quiet
+// days.
+func (i *instance) maxConns(now time.Time) int {
+	if i.g.r.forwarding.peersIncomplete {
 		return 0
 	}
-	n := max(leastCap, i.share())
+	n := max(minConnections, i.connShare())
 	switch _, held := i.g.r.holder(i); {
 	case i.direct(now):
-	case i.g.r.alone(i) && (now.Sub(i.g.r.began) < acquaintance || leastCap*i.g.r.hosts > i.total()):
+	case i.g.r.knowsNoHolder(i) &&
+		(now.Sub(i.g.r.startedAt) < discoveryPeriod || minConnections*i.g.r.hostCount > i.connLimit()):
 		n = 1
-	case held && leastCap*i.g.r.hosts > i.total():
-		// For questions only: all hosts together would fill the instance with no statement.
+	case held && minConnections*i.g.r.hostCount > i.connLimit():
+		// For status requests only: if all hosts had connections, they would fill the instance without
+		// running a statement.
 		n = 1
 	case !held:
-		// What the others have left over from before is closed soon: the pauses between the
-		// tries bound what asking again costs.
-		return max(leastCap, i.total()-i.strays())
+		// Connections that other hosts still have are closed soon. The backoff bounds the cost of
+		// refusals until then.
+		return max(minConnections, i.connLimit()-i.nonHolderReserve())
 	}
-	if !i.full.IsZero() && now.Sub(i.full) < fullFor {
-		return max(1, min(i.room, n))
+	if !i.connLimitAt.IsZero() && now.Sub(i.connLimitAt) < tooManyHold {
+		return max(1, min(i.connsAtLimit, n))
 	}
 	return n
 }
 
-// strays is how many connections the holder of an instance leaves free: one for each host, as
-// far as that leaves the holder a half.
-func (i *instance) strays() int {
-	if n := i.g.r.hosts; n <= i.total()/2 {
+// nonHolderReserve returns how many connections the holder of an instance leaves free: one for each
+// host, as long as the holder keeps at least half.
+func (i *instance) nonHolderReserve() int {
+	if n := i.g.r.hostCount; n <= i.connLimit()/2 {
 		return n
 	}
-	return i.total() / strayPart
+	return i.connLimit() / nonHolderReserveDivisor
 }
 
 // defaultConnections stands for the limit of a service that isn't known yet.
 const defaultConnections = 8
 
-// share is the part of cap that is kept open.
-func (i *instance) share() int {
-	return max(1, (i.total()-i.g.r.hosts)/i.g.r.hosts)
+// connShare returns this host's even share of the connections, which is kept open.
+func (i *instance) connShare() int {
+	return max(1, (i.connLimit()-i.g.r.hostCount)/i.g.r.hostCount)
 }
 
-// total is how many connections the instance takes from all hosts.
-func (i *instance) total() int {
+// connLimit returns how many connections the instance accepts from all hosts together.
+func (i *instance) connLimit() int {
 	if n := i.g.service.Connections; n > 0 {
 		return n
 	}
 	return defaultConnections
 }
 
-// standing counts the connections that are made.
-func (i *instance) standing() int {
+// openConns counts the connections that have been made.
+func (i *instance) openConns() int {
 	n := 0
 	for _, c := range i.conns {
 		if c.state != connDialling {
@@ -96,36 +100,36 @@
 	i.conns = slices.DeleteFunc(i.conns, func(o *Conn) bool { return o == c })
 }
 
-// idle returns the resting connection of an account that needs the fewest statements
-// to serve s, and how many.
-func (i *instance) idle(a fleet.Account, s *Session, p *prepared) (*Conn, int) {
+// idleConn returns the idle connection of an account that needs the fewest setup statements to serve s,
+// and their number.
+func (i *instance) idleConn(a fleet.Account, s *Session, p *prepared) (*Conn, int) {
 	var best *Conn
 	least := 0
 	for _, c := range i.conns {
 		if c.state != connIdle || c.Account != a {
 			continue
 		}
-		if n := len(c.setup(s, p)); best == nil || n < least {
+		if n := len(c.setupStatements(s, p)); best == nil || n < least {
 			best, least = c, n
 		}
 	}
 	return best, least
 }
 
-// resting returns the connection that has rested longest, of whatever account, but for those
-// that are offered to an operation: one that was closed to make room for another account
-// would be taken all the same, and what is sent on it is lost.
-func (i *instance) resting() *Conn {
+// longestIdle returns the connection that has been idle longest, of any account, except for reserved
+// ones. A reserved connection that is closed to make room for another account would still be given to
+// its operation, and what is sent on it would be lost.
+func (i *instance) longestIdle() *Conn {
 	var best *Conn
 	for _, c := range i.conns {
-		if c.state == connIdle && !c.offered && (best == nil || c.since.Before(best.since)) {
+		if c.state == connIdle && !c.reserved && (best == nil || c.stateSince.Before(best.stateSince)) {
 			best = c
 		}
 	}
 	return best
 }
 
-// dial has a connection made for an account.
+// dial starts a connection for an account.
 func (i *instance) dial(a fleet.Account) *Conn {
 	c := &Conn{
 		Service: i.g.name, Instance: i.info.Name, Address: i.info.Address, Account: a,
@@ -133,45 +137,44 @@
 	}
 	c.setState(connDialling)
 	i.conns = append(i.conns, c)
-	i.g.r.counts.Connects++
+	i.g.r.counters.Connects++
 	i.g.r.cfg.Dial(c)
 	return c
 }
 
-// swapAfter is how long a connection of another account has to have rested, or half of
-// what an operation has to have waited, for the one to give way to the other: a new
-// connection takes 12 ms of the instance's time, which is not to be spent on every
-// statement of accounts that alternate.
-const swapAfter = 5 * time.Millisecond
+// accountSwitchDelay is how long a connection has to have been idle before it is closed in favour of
+// another account's operation, unless the operation has waited for twice as long. A new connection
+// takes 12 ms of the instance's time, which is too much for every statement of accounts that alternate.
+const accountSwitchDelay = 5 * time.Millisecond
 
-// connect makes a connection for an operation, if there is room.
+// connect starts a connection for an operation, if there is room.
 func (i *instance) connect(now time.Time, o *operation) *Conn {
-	paused := now.Before(i.next)
+	paused := now.Before(i.nextDial)
 	if paused && i.failures > 0 || i.saturated(o.s.account) {
 		return nil
 	}
-	if !paused && len(i.conns) < i.cap(now) {
+	if !paused && len(i.conns) < i.maxConns(now) {
 		return i.dial(o.s.account)
 	}
-	c := i.spare(o.s.account)
+	c := i.evictable(o.s.account)
 	if c == nil {
 		return nil
 	}
-	if now.Sub(c.since) < swapAfter && now.Sub(o.asked) < 2*swapAfter {
+	if now.Sub(c.stateSince) < accountSwitchDelay && now.Sub(o.startedAt) < 2*accountSwitchDelay {
 		return nil
 	}
 	c.retire()
 	return i.dial(o.s.account)
 }
 
-// saturated reports whether one more connection of an account would bring nothing: all slots
-// of the instance are taken, and one of the statements on them is the account's, whose
-// connection is free once it ends. A connection takes 12 ms of a slot, which is more than
-// most statements; made for each statement that waits, they took a third of a busy primary.
+// saturated reports whether another connection of an account would bring nothing: all slots of the
+// instance are taken, one of them by a statement of that account, whose connection is free once the
+// statement ends. A connection takes 12 ms of a slot, which is more than most statements take. When one
+// was made for each waiting statement, connections took a third of a busy primary's time.
 func (i *instance) saturated(a fleet.Account) bool {
 	running, own := 0, false
 	for _, c := range i.conns {
-		if len(c.owed) > 0 && c.state == connBusy {
+		if len(c.pending) > 0 && c.state == connBusy {
 			running++
 			own = own || c.Account == a
 		}
@@ -179,40 +182,41 @@
 	return own && running >= max(i.info.Slots, 1)
 }
 
-// spare returns the resting connection that is to give way to one of account a: of the
-// account with the most connections, and of these the one that has rested longest. The last
-// connection of a small account would be missed at its next statement.
-func (i *instance) spare(a fleet.Account) *Conn {
-	held := map[fleet.Account]int{}
+// evictable returns the idle connection to close in favour of account a: of the account with the most
+// connections, the one that has been idle longest. The last connection of a small account would be
+// missing at its next statement.
+func (i *instance) evictable(a fleet.Account) *Conn {
+	counts := map[fleet.Account]int{}
 	for _, c := range i.conns {
-		held[c.Account]++
+		counts[c.Account]++
 	}
 	var best *Conn
 	for _, c := range i.conns {
-		if c.state != connIdle || c.offered || c.Account == a {
+		if c.state != connIdle || c.reserved || c.Account == a {
 			continue
 		}
-		more := best != nil && held[c.Account] != held[best.Account]
-		if best == nil || more && held[c.Account] > held[best.Account] || !more && c.since.Before(best.since) {
+		more := best != nil && counts[c.Account] != counts[best.Account]
+		if best == nil || more && counts[c.Account] > counts[best.Account] || !more && c.stateSince.Before(best.stateSince) {
 			best = c
 		}
 	}
 	return best
 }
 
-// sweep closes borrowed connections that rest and those to an instance that has gone.
-func (i *instance) sweep(now time.Time) {
+// closeIdleConns closes connections that have been idle for too long beyond the host's share, and idle
+// connections to an instance that was removed.
+func (i *instance) closeIdleConns(now time.Time) {
 	if len(i.conns) == 0 {
 		return
 	}
-	keep, rest := i.share(), restFor
+	keep, timeout := i.connShare(), idleTimeout
 	if _, ok := i.g.r.holder(i); ok {
-		keep, rest = 0, strayFor
-	} else if !i.direct(now) && !i.g.r.alone(i) {
-		keep = i.cap(now)
+		keep, timeout = 0, nonHolderIdleTimeout
+	} else if !i.direct(now) && !i.g.r.knowsNoHolder(i) {
+		keep = i.maxConns(now)
 	}
 	for _, c := range slices.Clone(i.conns) {
-		if c.state == connIdle && (i.gone || len(i.conns) > keep && now.Sub(c.since) > rest) {
+		if c.state == connIdle && (i.removed || len(i.conns) > keep && now.Sub(c.stateSince) > timeout) {
 			c.retire()
 		}
 	}
--- /dev/null
+++ b/core/relay/coordination.go
@@ -0,0 +1,283 @@
+package relay
+
+import (
+	"time"
+
+	"skylarkdeal/core/fleet"
+	"skylarkdeal/core/leader"
+	"skylarkdeal/core/statement"
+)
+
+// coordination is the state of this host's part in failovers.
+type coordination struct {
+	// active is set while this host is the failover coordinator.
+	active bool
+	// reports holds the last reachability report of each other host.
+	reports map[fleet.Host]reachabilityReport
+}
+
+// reachabilityReport is the last report of another host.
+type reachabilityReport struct {
+	// receivedAt is when the report was received, continuousSince when the first one was received
+	// after the last gap. Reports that follow a gap may be outdated.
+	receivedAt, continuousSince time.Time
+	// unreachable are the instances that the host can't reach, reachable those that it can although
+	// another host can't.
+	unreachable, reachable fleet.Set[fleet.Instance]
+}
+
+// recent reports whether the report was received less than reportValidity ago.
+func (d reachabilityReport) recent(now time.Time) bool { return now.Sub(d.receivedAt) < reportValidity }
+
+// trusted reports whether the report counts in a decision on a promotion. A host that was cut off
+// reconnects to the instances only after its reports arrive again, and its suspicions would replace
+// a primary that all other hosts reach.
+func (d reachabilityReport) trusted(now time.Time) bool {
+	return d.recent(now) && now.Sub(d.continuousSince) >= reportValidity
+}
+
+const (
+	// suspectAfter is how long an instance has to be silent, with a failed attempt to reach it,
+	// before this host suspects it.
+	suspectAfter = 300 * time.Millisecond
+	// reachableFor is how old the last response of an instance may be for this host to report that
+	// it reaches the instance.
+	reachableFor = 400 * time.Millisecond
+	// reportValidity is how long a reachability report counts.
+	reportValidity = time.Second
+	// positionRequestWait is how long the replicas get to report their log positions before a promotion
+	// is requested: some round trips across data centres.
+	positionRequestWait = 30 * time.Millisecond
+	// positionRequestRetry is after how long the request is repeated if no replica has answered.
+	positionRequestRetry = 400 * time.Millisecond
+)
+
+// IsCoordinator reports whether this host is the failover coordinator, which requests promotions.
+func (r *Relay) IsCoordinator() bool { return r.duty.active }
+
+// SetCoordinator sets whether this host is the failover coordinator.
+func (r *Relay) SetCoordinator(active bool) {
+	if active == r.duty.active {
+		return
+	}
+	r.duty.active = active
+	choice := "stop coordinating failovers"
+	if active {
+		choice = "coordinate failovers"
+	}
+	r.logEvent(Event{Kind: EventLeader, Choice: choice, Reason: "holder of the coordinator key in the store"})
+}
+
+// Unreachable returns the instances that this host suspects, each with the time since its last response.
+func (r *Relay) Unreachable() map[fleet.Instance]time.Duration {
+	now := r.now()
+	out := map[fleet.Instance]time.Duration{}
+	for _, g := range r.groups {
+		for _, i := range g.instances {
+			if i.suspected(now) && !i.removed {
+				out[i.info.Name] = now.Sub(i.lastHeard)
+			}
+		}
+	}
+	return out
+}
+
+// Reachable returns the instances that another host reports as unreachable and that have responded
+// to this host within reachableFor, on its own connections.
+func (r *Relay) Reachable() []fleet.Instance {
+	now := r.now()
+	var out []fleet.Instance
+	for _, g := range r.groups {
+		for _, i := range g.instances {
+			if now.Sub(i.lastHeard) < reachableFor && r.suspectedByOther(now, i.info.Name) {
+				out = append(out, i.info.Name)
+			}
+		}
+	}
+	return out
+}
+
+func (r *Relay) suspectedByOther(now time.Time, n fleet.Instance) bool {
+	for _, d := range r.duty.reports {
+		if d.recent(now) && d.unreachable.Has(n) {
+			return true
+		}
+	}
+	return false
+}
+
+// AddReachability handles a report of another host: the instances that it can't reach, and those that
+// it can although others can't. If this host is one of those that check a suspicion, it probes the
+// unreachable ones itself.
+func (r *Relay) AddReachability(from fleet.Host, unreachable, reachable []fleet.Instance) {
+	now := r.now()
+	if r.duty.reports == nil {
+		r.duty.reports = map[fleet.Host]reachabilityReport{}
+	}
+	d := r.duty.reports[from]
+	if !d.recent(now) {
+		d.continuousSince = now
+	}
+	d.receivedAt, d.unreachable, d.reachable = now, setOf(unreachable), setOf(reachable)
+	r.duty.reports[from] = d
+	for _, n := range unreachable {
+		for _, g := range r.groups {
+			i := g.instances[n]
+			if i == nil || i.removed || now.Sub(i.lastHeard) <= probeAfter || now.Sub(i.askedAt) <= probeAfter {
+				continue
+			}
+			if r.isProber(i) && !i.leavesProbeToHolder(now) {
+				g.probe(now, i)
+			}
+		}
+	}
+}
+
+// setOf returns a set, nil if it is empty: most of the hundreds of reports a second list no instance.
+func setOf(instances []fleet.Instance) fleet.Set[fleet.Instance] {
+	if len(instances) == 0 {
+		return nil
+	}
+	return fleet.NewSet(instances...)
+}
+
+// suspected reports whether connections to the instance have failed and it has been silent for more
+// than suspectAfter.
+func (i *instance) suspected(now time.Time) bool {
+	return i.failures > 0 && now.Sub(i.lastHeard) > suspectAfter && now.Sub(i.failingSince) > suspectAfter/4
+}
+
+// RecordRevision returns the revision of the newest promotion record that the host knows, 0 if none.
+func (r *Relay) RecordRevision() uint64 {
+	var last uint64
+	for _, g := range r.groups {
+		last = max(last, g.primaryState.Record().Revision)
+	}
+	return last
+}
+
+// decidePromotion requests a promotion if the group needs one and this host is the coordinator.
+//
+// The replicas are asked for their log positions first: commits that the promoted replica lacks are
+// lost, and the last known positions may be outdated.
+func (g *group) decidePromotion(now time.Time) {
+	if !g.r.duty.active || !g.r.lease.RecordsCurrent(now) || now.Before(g.nextPromotionAt) {
+		g.positionsAskedAt = time.Time{}
+		return
+	}
+	if i := g.instances[g.primaryState.DesignatedPrimary()]; i != nil && i.leads {
+		if o, ok := g.primaryState.ConfirmingRequest(i.info.Name, i.term, g.promotionAcceptedAt, now); ok {
+			g.requestPromotion(now, o)
+			return
+		}
+	}
+	if !g.primaryState.NeedsPromotion(g.groupStatus(now)) {
+		g.positionsAskedAt = time.Time{}
+		return
+	}
+	if g.positionsAskedAt.IsZero() || now.Sub(g.positionsAskedAt) > positionRequestRetry {
+		g.positionsAskedAt = now
+	}
+	for _, i := range g.instances {
+		if i.usable() && i.statusAt.Before(g.positionsAskedAt) && now.Sub(i.askedAt) >= statusRequestInterval {
+			g.requestStatus(now, i)
+		}
+	}
+	if now.Sub(g.positionsAskedAt) < positionRequestWait {
+		return
+	}
+	o, ok := g.primaryState.Decide(g.groupStatus(now))
+	if !ok {
+		return
+	}
+	g.positionsAskedAt = time.Time{}
+	g.requestPromotion(now, o)
+}
+
+// requestPromotion passes a promotion request on and defers the next one.
+func (g *group) requestPromotion(now time.Time, o leader.PromotionRequest) {
+	g.promotionAcceptedAt = time.Time{}
+	g.nextPromotionAt = now.Add(promotionRequestPause)
+	o.Service = g.name
+	g.r.logEvent(Event{
+		Kind: EventLeader, Service: g.name, Instance: o.Primary, Term: o.Term,
+		Choice: "request a promotion", Reason: string(o.Reason), RequiredPoint: g.instances[o.Primary].received,
+	})
+	g.r.cfg.RequestPromotion(o)
+}
+
+// promotionRequestPause keeps a host from requesting a second promotion before the record of the
+// first one, or its failure, is known.
+const promotionRequestPause = time.Second
+
+// groupStatus returns the input of a decision on a promotion. It also updates suspectedSince of each instance.
+func (g *group) groupStatus(now time.Time) leader.GroupStatus {
+	s := leader.GroupStatus{Now: now, Since: g.unconfirmedSince}
+	if g.primaryState.Record().Revision != 0 && g.promotionKnownAt.After(s.Since) {
+		s.Since = g.promotionKnownAt
+	}
+	for _, i := range g.instances {
+		m := leader.InstanceInfo{
+			Name: i.info.Name, Leaving: i.info.Leaving || i.evacuated(), Gone: i.removed,
+			Cold: i.isCold(now), OutsideRegion: g.outsideRegion(i),
+			Reachable: i.failures == 0 && !i.statusAt.Before(g.positionsAskedAt), Received: i.received,
+			IsPrimary: i.leads, Term: i.term, UnreachableFor: now.Sub(i.suspectedSince),
+		}
+		switch {
+		case i.suspected(now):
+			m.UnreachableFrom++
+		case now.Sub(i.lastHeard) < reachableFor:
+			m.ReachableFrom++
+		}
+		for _, d := range g.r.duty.reports {
+			if d.trusted(now) && d.unreachable.Has(i.info.Name) {
+				m.UnreachableFrom++
+			} else if d.trusted(now) && d.reachable.Has(i.info.Name) {
+				m.ReachableFrom++
+			}
+		}
+		if m.UnreachableFrom == 0 {
+			i.suspectedSince = now
+			m.UnreachableFor = 0
+		}
+		s.Instances = append(s.Instances, m)
+	}
+	return s
+}
+
+// PromotionFinished handles the outcome of a promotion request: accepted, or refused because the
+// instance isn't running. Neither is set if the outcome is another failure.
+func (r *Relay) PromotionFinished(o leader.PromotionRequest, accepted, refused bool) {
+	g := r.group(o.Service)
+	if accepted {
+		g.promotionAcceptedAt = r.now()
+	}
+	if i := g.instances[o.Primary]; refused && i != nil {
+		i.addFailure(r.now(), "the platform reports that it isn't running")
+	}
+	if refused {
+		g.nextPromotionAt = time.Time{}
+		g.promotionKnownAt = time.Time{}
+		g.unconfirmedSince = time.Time{}
+	}
+}
+
+// RequestStepDown has the former primary step down shortly before the promotion takes effect. Writes
+// that it still accepted would be lost, as the new primary has no time to receive them.
+func (r *Relay) RequestStepDown(o leader.PromotionRequest) {
+	g := r.group(o.Service)
+	i := g.instances[o.Former]
+	if i == nil || g.primaryState.Record().Primary != o.Primary {
+		return
+	}
+	g.r.logEvent(Event{
+		Kind: EventLeader, Service: g.name, Instance: o.Former, Term: o.Term,
+		Choice: "step down", Reason: "its successor is about to lead",
+	})
+	a, ok := g.anyAccount()
+	if p, forwarded := r.holder(i); forwarded && ok && p.Send != nil {
+		i.connVia(p, a).stepDown(o.Term, nil)
+		return
+	}
+	g.requestForPeer(o.Former, o.Term, func(statement.Answer) {})
+}
--- a/core/relay/forward.go
+++ b/core/relay/forward.go
@@ -10,129 +10,129 @@
 	"skylarkdeal/core/statement"
 )
 
-// Forward has another host run statements on an instance, on a stream that stands for a
-// connection of its own. Only the last statement is answered.
+// Forward asks another host to run statements on an instance, on a stream that acts as a connection of
+// its own. Only the last statement is answered.
 type Forward struct {
 	Stream     uint64
 	Service    fleet.Service
 	Instance   fleet.Instance
 	Account    fleet.Account
 	Statements []statement.Statement
-	// Left is how long the last statement may take, Wait how long it may wait for its turn: as
-	// long as Left if it is zero.
+	// Left is how long the last statement may take, Wait how long it may wait in the queue: as long as
+	// Left if it is zero.
 	Left, Wait time.Duration
-	// Open begins the stream. A stream that is not open is not begun by anything else: what
-	// belongs to a transaction must not run outside of it when the stream has ended.
+	// Open opens the stream. Nothing else does: a statement of a transaction must not run outside of it
+	// when the stream has ended.
 	Open bool
 	// Close ends the stream, after the answer if there are statements.
 	Close bool
 }
 
-// leastWait is what a forwarded operation may wait at least: less is nothing on the wire, and
-// would be taken for no limit.
-const leastWait = time.Millisecond
+// minForwardWait is the least wait of a forwarded operation. A shorter one is zero on the wire, which
+// means no limit.
+const minForwardWait = time.Millisecond
 
-// PeerLinkID names a connection from another host. A host that was cut off may open a new one
-// before the end of the old one shows.
+// PeerLinkID identifies a connection from another host. A host that was cut off may open a new one
+// before the end of the old one is noticed.
 type PeerLinkID uint64
 
-// Peer is another host, as this one can use it.
+// Peer is another host and the link to it.
 type Peer struct {
 	Host       fleet.Host
 	DataCentre fleet.DataCentre
-	// Capacity is what it can carry.
+	// Capacity is what the host can carry, in processor cores; zero if it isn't known.
 	Capacity fleet.Capacity
-	// Send hands it a request. It is nil while there is no link to it.
+	// Send sends a request to the host. It is nil while there is no link to it.
 	Send func(f Forward)
 }
 
-// stream names a stream of another host.
-type stream struct {
+// streamKey identifies a stream that another host has opened.
+type streamKey struct {
 	link PeerLinkID
 	id   uint64
 }
 
-// forwarding is what a relay needs for running statements by and for other hosts.
+// forwarding is the state of running statements over and for other hosts.
 type forwarding struct {
 	peers []Peer
-	// byHost has the peers by their names.
-	byHost map[fleet.Host]Peer
-	// candidates are the hosts of each data centre that may hold connections; round counts their
-	// changes.
-	candidates map[fleet.DataCentre]candidates
-	round      uint64
-	// missing counts the hosts that ought to be there and aren't heard.
-	missing int
-	// unsure is set while too few hosts are heard to tell which of them hold connections.
-	unsure bool
-	// secluded is set while no host of another data centre is heard, although there are some.
-	secluded bool
-	// virtual are the connections over other hosts, guests the sessions run for them.
-	virtual map[uint64]*Conn
-	guests  map[stream]*Session
+	// peersByHost has the peers by their names.
+	peersByHost map[fleet.Host]Peer
+	// candidates are the hosts of each data centre that may hold connections; candidatesVersion counts
+	// their changes.
+	candidates        map[fleet.DataCentre]candidates
+	candidatesVersion uint64
+	// missingHosts counts the hosts that are registered and not heard.
+	missingHosts int
+	// peersIncomplete is set while too few hosts are heard to tell which of them hold connections.
+	peersIncomplete bool
+	// isolated is set while no host of another data centre is heard, although there are some.
+	isolated bool
+	// forwardedConns are the connections over other hosts, inboundSessions the sessions that run for
+	// them.
+	forwardedConns  map[uint64]*Conn
+	inboundSessions map[streamKey]*Session
 }
 
-// directShare is how many connections to each instance a host has to have for itself
-// when all are shared evenly, for callers not to wait for one too long. Below it, one
-// host holds the connections to an instance and runs the statements of all: a connection
-// belongs to one account, and each change of account takes 12 ms of the instance's time.
-const directShare = 3
+// minDirectShare is the least number of connections per host, if those to an instance are shared
+// evenly, with which each host uses its own. With fewer, callers would wait too long for a connection,
+// so one host, the holder, has all connections to the instance and runs the statements of all hosts. A
+// connection belongs to one account, and each change of account takes 12 ms of the instance's time.
+const minDirectShare = 3
 
-// lingerFor is how long an instance holds on to the connections of a host that has lost
-// power, as the platform's pages tell.
-const lingerFor = 3 * time.Second
+// deadHostConnTimeout is how long an instance keeps the connections of a host that has lost power,
+// according to the platform's documentation.
+const deadHostConnTimeout = 3 * time.Second
 
-// direct reports whether the host uses an instance by its own connections, as there are
-// enough for all hosts.
+// direct reports whether the host uses an instance over its own connections, since there are enough for
+// all hosts.
 //
-// A host that has just started can't have them: if all hosts have lost power, the instance
-// holds on to the connections of before for some seconds, and the few that are left are
-// worth more in one hand: one for an account in place of one for a host, where accounts
-// take turns by connecting anew and a transaction that pauses holds up all others.
+// A host that has recently started doesn't. If all hosts have lost power, the instance keeps their
+// former connections for some seconds. The few that are left are of more use to a single holder: it
+// needs one for an account instead of one for a host. With one for a host, accounts take turns by
+// reconnecting, and a transaction that pauses holds up all others.
 func (i *instance) direct(now time.Time) bool {
-	return i.share() >= directShare && !i.g.r.young(now)
+	return i.connShare() >= minDirectShare && !i.g.r.recentlyStarted(now)
 }
 
-// SetPeers tells which other hosts are heard now, and how many are missing: those that
-// are registered and not heard.
+// SetPeers sets the other hosts that are heard now, and how many are missing: registered but not heard.
 func (r *Relay) SetPeers(ps []Peer, missing int) {
 	f := &r.forwarding
-	f.missing = missing
-	if f.byHost == nil {
-		f.byHost = map[fleet.Host]Peer{}
+	f.missingHosts = missing
+	if f.peersByHost == nil {
+		f.peersByHost = map[fleet.Host]Peer{}
 	}
-	same := f.candidates != nil && len(ps) == len(f.byHost)
+	unchanged := f.candidates != nil && len(ps) == len(f.peersByHost)
 	for _, p := range ps {
-		same = same && samePeer(f.byHost[p.Host], p)
+		unchanged = unchanged && samePeer(f.peersByHost[p.Host], p)
 	}
-	clear(f.byHost)
+	clear(f.peersByHost)
 	for _, p := range ps {
-		f.byHost[p.Host] = p
+		f.peersByHost[p.Host] = p
 	}
-	if !same {
-		f.candidates = candidatesOf(append(slices.Clone(ps), r.self()))
-		f.round++
+	if !unchanged {
+		f.candidates = groupCandidates(append(slices.Clone(ps), r.self()))
+		f.candidatesVersion++
 	}
 	f.peers = ps
 }
 
-// SetPeersIncomplete tells whether this host has just started in a large fleet and hears too few of its hosts
-// to tell which of them hold connections. It makes none of its own then, and uses those of the
-// holders that it hears.
+// SetPeersIncomplete sets whether this host has recently started in a large fleet and hears too few
+// hosts to tell which of them hold connections. While it is set, the host makes no connections of its
+// own and uses those of the holders that it hears.
 //
-// The load it is made for: hundreds of hosts that start at once. Each took itself for the holder
-// of instances whose holders it didn't hear yet, and together they filled all instances.
-func (r *Relay) SetPeersIncomplete(unsure bool) { r.forwarding.unsure = unsure }
+// Designed for hundreds of hosts that start at once. Each host took itself for the holder of instances
+// whose holders it didn't hear yet, and together they filled all instances.
+func (r *Relay) SetPeersIncomplete(incomplete bool) { r.forwarding.peersIncomplete = incomplete }
 
-// SetIsolated tells whether no host of another data centre has been heard for a moment, although
-// there are some. An instance there that has answered outweighs that.
-func (r *Relay) SetIsolated(secluded bool) {
-	r.forwarding.secluded = secluded && !r.hearsFar(r.now())
+// SetIsolated sets whether no host of another data centre was heard lately, although there are some. It
+// has no effect if an instance there has answered lately.
+func (r *Relay) SetIsolated(isolated bool) {
+	r.forwarding.isolated = isolated && !r.hearsRemoteInstance(r.now())
 }
 
-// hearsFar reports whether an instance in another data centre has answered lately on a connection
-// of this host's own.
-func (r *Relay) hearsFar(now time.Time) bool {
+// hearsRemoteInstance reports whether an instance in another data centre has answered lately on one of
+// this host's own connections.
+func (r *Relay) hearsRemoteInstance(now time.Time) bool {
 	for _, g := range r.groups {
 		for _, i := range g.instances {
 			if !i.local() && len(i.conns) > 0 && now.Sub(i.lastHeard) < leader.StoreSilentAfter {
@@ -143,127 +143,127 @@
 	return false
 }
 
-// secluded reports whether the host's data centre, or the host alone, looks cut off from all
-// else: nothing comes from the store nor from any host elsewhere.
+// isolated reports whether the host, or its whole data centre, seems to be cut off from everything
+// else: neither the store nor any host of another data centre is heard.
 //
-// The load it is made for: the callers of a data centre that is cut off, whose every statement
-// would wait for its time limit on instances elsewhere, one after the other, until each is known
-// to be silent. Either silence alone may have another cause, so both are needed; the process
-// itself must not have stood still.
-func (r *Relay) secluded(now time.Time) bool {
-	return r.forwarding.secluded && r.lease.StoreSilent(now) && !now.Before(r.awake)
+// Designed for the callers of a data centre that is cut off. Each of their statements would wait for
+// its timeout on instances elsewhere, one after the other, until each instance is known to be
+// unreachable. Either silence alone may have another cause, so both are required, and the process
+// itself must not have been paused.
+func (r *Relay) isolated(now time.Time) bool {
+	return r.forwarding.isolated && r.lease.StoreSilent(now) && !now.Before(r.pauseGraceUntil)
 }
 
-// reaches reports whether the instance can be used, by this host's own connections or
-// over another.
-func (r *Relay) reaches(now time.Time, i *instance) bool {
-	if !i.local() && r.secluded(now) {
+// canReach reports whether the instance can be used, over this host's own connections or over another
+// host.
+func (r *Relay) canReach(now time.Time, i *instance) bool {
+	if !i.local() && r.isolated(now) {
 		return false
 	}
-	if !i.doubtful(now) {
+	if !i.suspected(now) {
 		return true
 	}
-	_, over := r.holder(i)
-	return over
+	_, held := r.holder(i)
+	return held
 }
 
-// alone reports whether this host serves an instance for itself, although others may hold
-// its connections: it has not heard of them yet.
-func (r *Relay) alone(i *instance) bool {
+// knowsNoHolder reports whether this host uses an instance by itself, although another host may hold
+// its connections, because it hasn't heard any other host yet.
+func (r *Relay) knowsNoHolder(i *instance) bool {
 	return !i.direct(r.now()) && len(r.forwarding.peers) == 0
 }
 
-// over returns a connection to the instance over another host. It costs nothing to make:
-// the other host finds the real one.
-func (i *instance) over(p Peer, a fleet.Account) *Conn {
+// connVia returns a connection to the instance over another host. It costs nothing to make: the other
+// host finds the real connection.
+func (i *instance) connVia(p Peer, a fleet.Account) *Conn {
 	c := &Conn{
 		Service: i.g.name, Instance: i.info.Name, Address: i.info.Address, Account: a,
 		g: i.g, inst: i, values: map[string]string{}, prepared: map[string]bool{},
-		via: p.Host, stream: i.g.r.nextKey(),
+		via: p.Host, streamID: i.g.r.nextKey(),
 	}
 	c.Send = func(qs []statement.Statement) {
 		f := Forward{
-			Stream: c.stream, Service: c.Service, Instance: c.Instance, Account: c.Account, Statements: qs,
+			Stream: c.streamID, Service: c.Service, Instance: c.Instance, Account: c.Account, Statements: qs,
 		}
-		f.Open = !c.opened
-		c.opened = true
+		f.Open = !c.streamOpened
+		c.streamOpened = true
 		if qs[0].Kind == statement.KindStepDown {
-			c.once = true
+			c.closesAfterReply = true
 		}
 		if c.op != nil {
 			now := i.g.r.now()
-			f.Left, f.Wait = c.op.deadline.Sub(now), max(c.op.patience().Sub(now), leastWait)
+			f.Left, f.Wait = c.op.deadline.Sub(now), max(c.op.waitDeadline().Sub(now), minForwardWait)
 			f.Close = !c.op.s.tx.open
-			c.once = f.Close
+			c.closesAfterReply = f.Close
 		}
 		p.Send(f)
 	}
 	c.Close = func() {
-		if !c.once {
-			p.Send(Forward{Stream: c.stream, Service: c.Service, Instance: c.Instance, Close: true})
+		if !c.closesAfterReply {
+			p.Send(Forward{Stream: c.streamID, Service: c.Service, Instance: c.Instance, Close: true})
 		}
 	}
 	c.setState(connIdle)
-	i.g.r.forwarding.virtual[c.stream] = c
-	i.lent++
+	i.g.r.forwarding.forwardedConns[c.streamID] = c
+	i.forwardedCount++
 	return c
 }
 
-// HandleForwardAnswer takes in the answer of another host.
+// HandleForwardAnswer handles another host's answer on a stream.
 func (r *Relay) HandleForwardAnswer(from fleet.Host, id uint64, a statement.Answer) {
-	c := r.forwarding.virtual[id]
+	c := r.forwarding.forwardedConns[id]
 	if c == nil || c.via != from {
 		return
 	}
 	r.HandleAnswer(c, a)
 }
 
-// tickForwarding gives up the questions that another host doesn't answer. They take no slot, and
-// that host answers within its own patience whatever it finds; one that stands still would have
-// them pile up, and an answer that comes much later tells of a time long past.
+// tickForwarding gives up status requests that another host doesn't answer. They take no slot, and that
+// host answers within a time limit in any case. They would pile up if that host was paused, and an
+// answer that comes much later describes an outdated state.
 func (r *Relay) tickForwarding(now time.Time) {
-	for _, c := range r.forwarding.virtual {
-		asks := len(c.owed) > 0 && c.owed[0].kind == statement.KindStepDown
-		if asks && now.Sub(c.owed[0].asked) > inquiryPatience+quietFor {
-			c.lost("no answer to a question over another host")
+	for _, c := range r.forwarding.forwardedConns {
+		asks := len(c.pending) > 0 && c.pending[0].kind == statement.KindStepDown
+		if asks && now.Sub(c.pending[0].sentAt) > peerRequestTimeout+statusRequestTimeout {
+			c.handleClose("no answer to a question over another host")
 		}
 	}
 }
 
-// PeerLost takes in that the link to another host has ended: what it ran for this one has
-// an unknown outcome.
+// PeerLost handles the end of the link to another host. The outcome of what that host ran for this one
+// is unknown.
 func (r *Relay) PeerLost(h fleet.Host) {
-	for _, c := range r.forwarding.virtual {
+	for _, c := range r.forwarding.forwardedConns {
 		if c.via == h {
-			c.lost("the host that held the connection can't be reached")
+			c.handleClose("the host that held the connection can't be reached")
 		}
 	}
 }
 
-// InboundLinkClosed takes in that a link from another host has ended: what this one runs for it
-// is rolled back.
+// InboundLinkClosed handles the end of a link from another host. What this host runs for it is rolled
+// back.
 func (r *Relay) InboundLinkClosed(l PeerLinkID) {
-	for k, s := range r.forwarding.guests {
+	for k, s := range r.forwarding.inboundSessions {
 		if k.link == l {
-			delete(r.forwarding.guests, k)
+			delete(r.forwarding.inboundSessions, k)
 			s.Disconnected()
 		}
 	}
 }
 
-// HandleForward runs what another host asks for, and answers it by reply. The other host has
-// admitted the operation, chosen the instance and proves the answer; this one queues it
-// among its own, by account, and finds the connection.
+// HandleForward runs another host's request and passes the answer to reply. The other host has admitted
+// the operation and chosen the instance, and verifies the answer. This host queues the operation among
+// its own, by account, and finds the connection.
 func (r *Relay) HandleForward(from PeerLinkID, f Forward, reply func(a statement.Answer)) {
 	if len(f.Statements) == 1 && f.Statements[0].Kind == statement.KindStepDown {
-		r.group(f.Service).inquire(f.Instance, f.Statements[0].Term, reply)
+		r.group(f.Service).requestForPeer(f.Instance, f.Statements[0].Term, reply)
 		return
 	}
-	k := stream{from, f.Stream}
-	s := r.forwarding.guests[k]
+	k := streamKey{from, f.Stream}
+	s := r.forwarding.inboundSessions[k]
 	if s == nil && f.Open {
-		s = r.guest(f)
-		r.forwarding.guests[k] = s
+		s = r.newInboundSession(f)
+		r.forwarding.inboundSessions[k] = s
 	}
 	if s == nil {
 		if len(f.Statements) > 0 {
@@ -272,38 +272,38 @@
 		return
 	}
 	if len(f.Statements) == 0 {
-		delete(r.forwarding.guests, k)
+		delete(r.forwarding.inboundSessions, k)
 		s.Disconnected()
 		return
 	}
 	last := false
-	s.link.Answer = func(a statement.Answer) {
+	s.caller.Answer = func(a statement.Answer) {
 		if !last && a.Code == statement.CodeNone {
 			return
 		}
 		if f.Close {
-			delete(r.forwarding.guests, k)
+			delete(r.forwarding.inboundSessions, k)
 			defer s.Disconnected()
 		}
 		reply(a)
 	}
-	s.route.Timeout, s.route.Target = f.Left, f.Wait/waitTargets
+	s.route.Timeout, s.route.Target = f.Left, f.Wait/maxWaitTargets
 	for n, q := range f.Statements {
 		last = n == len(f.Statements)-1
 		s.Query(q)
 	}
 }
 
-// guest opens a session for another host, bound to one instance.
-func (r *Relay) guest(f Forward) *Session {
+// newInboundSession opens a session for another host, bound to one instance.
+func (r *Relay) newInboundSession(f Forward) *Session {
 	s := &Session{
-		r: r, started: true, prepared: map[string]*prepared{}, account: f.Account, instance: f.Instance,
+		r: r, started: true, prepared: map[string]*prepared{}, account: f.Account, boundInstance: f.Instance,
 		route: catalog.Route{Service: f.Service},
 	}
-	s.link = CallerConn{
+	s.caller = CallerConn{
 		Accept: func() {}, Close: func() {},
 		Reject: func(code statement.Code, detail string) {
-			s.link.Answer(statement.Answer{Code: code, Detail: detail, State: s.state()})
+			s.caller.Answer(statement.Answer{Code: code, Detail: detail, State: s.state()})
 		},
 	}
 	return s
--- a/core/relay/outcome.go
+++ b/core/relay/outcome.go
@@ -6,242 +6,245 @@
 	"skylarkdeal/core/statement"
 )
 
-// answered takes the instance's answer.
-func (o *operation) answered(a statement.Answer) {
+// handleAnswer handles the instance's answer to the operation.
+func (o *operation) handleAnswer(a statement.Answer) {
 	c := o.conn
 	if c.op != o {
 		return
 	}
 	now := o.g.r.now()
 	took := now.Sub(o.sentAt)
-	o.leave(now, took)
+	o.releaseSlot(now, took)
 	c.op = nil
 	if a.Code == statement.CodeNone {
-		c.inst.worked(now, took)
-		c.inst.lags = 0
-		o.succeeded(a)
+		c.inst.addLatency(now, took)
+		c.inst.lagCount = 0
+		o.handleSuccess(a)
 		return
 	}
-	o.g.refusedBy(c, a.Code, o)
-	// What was to be prepared ahead of it was turned away.
-	c.spoilt = c.spoilt || a.Code == statement.CodeNotPrepared
-	if o.opens && c.via != "" && a.Code.NotRun() {
+	o.g.handleRefusal(c, a.Code, o)
+	// The instance refused the prepare that was sent ahead of the statement.
+	c.dirty = c.dirty || a.Code == statement.CodeNotPrepared
+	if o.beginsTx && c.via != "" && a.Code.NotRun() {
 		// The other host has not begun the transaction, or has rolled it back.
 		o.s.tx.conn, c.session = nil, nil
 		c.retire()
-		o.again(a.Code)
+		o.retry(a.Code)
 		return
 	}
 	if o.s.tx.open {
-		o.failedInTx(a)
+		o.failTransaction(a)
 		return
 	}
-	c.settle(a)
-	if o.s.instance != "" {
+	c.releaseOutsideTx(a)
+	if o.s.boundInstance != "" {
 		o.finish(a)
 		return
 	}
 	if a.Code.NotRun() || !o.writes && (a.Code == statement.CodeFailed || a.Code == statement.CodeTimeout) {
-		o.again(a.Code)
+		o.retry(a.Code)
 		return
 	}
 	o.finish(a)
 }
 
-// settle frees a connection after a statement outside a transaction, or closes one that
-// is in a state which it should not be in.
-func (c *Conn) settle(a statement.Answer) {
-	c.retireUnless(a.State == statement.TxNone)
+// releaseOutsideTx frees a connection after a statement outside a transaction, or closes it if it is
+// still in one.
+func (c *Conn) releaseOutsideTx(a statement.Answer) {
+	c.freeIf(a.State == statement.TxNone)
 }
 
-func (o *operation) succeeded(a statement.Answer) {
+// handleSuccess releases the connection if no transaction stays open on it, and verifies the answer.
+func (o *operation) handleSuccess(a statement.Answer) {
 	c := o.conn
 	commit := o.q.Kind == statement.KindCommit
 	switch {
 	case !o.s.tx.open:
-		c.settle(a)
+		c.releaseOutsideTx(a)
 	case commit:
 		o.s.tx.conn = nil
 		c.session = nil
-		c.settle(a)
+		c.releaseOutsideTx(a)
 	}
-	o.g.judge(o, c, a)
+	o.g.verifyAnswer(o, c, a)
 }
 
-// failedInTx answers a failure in a transaction, which is rolled back.
-func (o *operation) failedInTx(a statement.Answer) {
-	o.s.fail()
+// failTransaction rolls back the operation's transaction and answers with the failure.
+func (o *operation) failTransaction(a statement.Answer) {
+	o.s.failTransaction()
 	o.finish(a)
 }
 
-// again sends the operation off once more, as nothing of it was run, or tells the
-// caller so.
+// retry queues an operation again that was not run, or refuses it if there is no time or instance left.
 //
-// The guard is for an operation of a transaction that had begun, whose value was refused or
-// whose connection broke before it was sent: elsewhere it would run by itself, and be kept
-// while the rest of its transaction is not.
-func (o *operation) again(code statement.Code) {
+// An operation of a transaction that had begun isn't retried, such as one whose SET was refused or whose
+// connection broke before it was sent. On another connection it would run and commit on its own, while
+// the rest of its transaction is rolled back.
+func (o *operation) retry(code statement.Code) {
 	now := o.g.r.now()
-	o.leave(now, 0)
-	if o.over {
+	o.releaseSlot(now, 0)
+	if o.finished {
 		return
 	}
-	if o.begun() {
-		o.failedInTx(statement.Answer{
-			Code: statement.CodeAborted, Detail: "rolled back: its connection could not be made ready", RetryAfter: retrySoon,
+	if o.txBegun() {
+		o.failTransaction(statement.Answer{
+			Code: statement.CodeAborted, Detail: "rolled back: its connection could not be made ready",
+			RetryAfter: shortRetryAfter,
 		})
 		return
 	}
-	if o.s.instance != "" && code == statement.CodeFailed {
-		o.give(statement.Answer{Code: code, Detail: "the connection to the instance was lost"})
+	if o.s.boundInstance != "" && code == statement.CodeFailed {
+		o.answerCaller(statement.Answer{Code: code, Detail: "the connection to the instance was lost"})
 		return
 	}
-	stays := code == statement.CodeReadOnly || code == statement.CodeNotPrepared || code == statement.CodeUnreachable
-	if o.conn != nil && o.s.instance == "" && !stays {
-		o.avoid.Add(o.conn.Instance)
+	retryHere := code == statement.CodeReadOnly || code == statement.CodeNotPrepared || code == statement.CodeUnreachable
+	if o.conn != nil && o.s.boundInstance == "" && !retryHere {
+		o.excluded.Add(o.conn.Instance)
 	}
-	if o.tries >= maxTries || !now.Before(o.deadline) {
-		o.refuse(code, "no instance could run it", retrySoon)
+	if o.attempts >= maxAttempts || !now.Before(o.deadline) {
+		o.refuse(code, "no instance could run it", shortRetryAfter)
 		return
 	}
-	o.g.r.counts.Retried++
-	o.note(EventRetry, "run it elsewhere", "it was not run", code)
-	o.wait()
+	o.g.r.counters.Retried++
+	o.logEvent(EventRetry, "retry the statement", "it was not run", code)
+	o.enqueue()
 }
 
-// retrySoon is when to come back after a trouble that passes by itself, such as a change
-// of primary that is about to end.
-const retrySoon = 100 * time.Millisecond
+// shortRetryAfter is the delay after which a caller may retry when a failure is short, such as a
+// promotion that is about to finish.
+const shortRetryAfter = 100 * time.Millisecond
 
-// cut handles the loss of the connection that ran the operation.
+// connLost handles the loss of the connection that ran the operation.
 //
-// What was not sent was not run. A transaction that was not told to commit is rolled
-// back with its connection. Only a write or a commit of writes that was sent may have
-// been run or not: it is never sent again, and its caller is told so at once.
-func (o *operation) cut(why string) {
-	if o.over {
+// A statement that was not sent was not run. A transaction whose commit was not sent is rolled back
+// with its connection. Only a write, or the commit of writes, that was sent may have been run or not:
+// it is never sent again, and its caller is told at once that it is in doubt.
+func (o *operation) connLost(reason string) {
+	if o.finished {
 		return
 	}
-	o.leave(o.g.r.now(), 0)
+	o.releaseSlot(o.g.r.now(), 0)
 	commit := o.q.Kind == statement.KindCommit
 	switch {
 	case !o.sent:
-		o.again(statement.CodeBusy)
-	case o.s.tx.open && (!commit || !o.s.tx.writes):
+		o.retry(statement.CodeBusy)
+	case o.s.tx.open && (!commit || !o.s.tx.mayHaveWritten):
 		o.s.tx.failed = true
-		o.give(statement.Answer{Code: statement.CodeAborted, Detail: "rolled back: " + why, RetryAfter: retrySoon})
+		o.answerCaller(statement.Answer{
+			Code: statement.CodeAborted, Detail: "rolled back: " + reason, RetryAfter: shortRetryAfter,
+		})
 	case commit || o.writes:
-		o.inDoubt(why)
+		o.answerInDoubt(reason)
 	default:
-		o.again(statement.CodeFailed)
+		o.retry(statement.CodeFailed)
 	}
 }
 
-// inDoubt tells the caller that its write may have been run or not.
-func (o *operation) inDoubt(why string) {
-	o.g.r.counts.InDoubt++
-	o.give(statement.Answer{Code: statement.CodeInDoubt, Detail: "sent, but not known to be kept: " + why})
+// answerInDoubt answers that the write may have been run or not.
+func (o *operation) answerInDoubt(reason string) {
+	o.g.r.counters.InDoubt++
+	o.answerCaller(statement.Answer{Code: statement.CodeInDoubt, Detail: "sent, but not known to be kept: " + reason})
 }
 
-// late gives up a statement that has reached its deadline at the instance.
-func (o *operation) late() {
+// timeOut closes the connection of a statement that has reached its deadline at the instance, and answers.
+func (o *operation) timeOut() {
 	c := o.conn
 	c.op = nil
-	o.note(EventAnswer, "give up", "the statement has reached its time limit", statement.CodeTimeout)
-	c.lost("a statement reached its time limit")
+	o.logEvent(EventAnswer, "time out", "the statement has reached its time limit", statement.CodeTimeout)
+	c.handleClose("a statement reached its time limit")
 	if o.s.tx.conn == c {
 		o.s.tx.conn = nil
 	}
 	if o.sent && !o.writes && !o.s.tx.open {
-		o.leave(o.g.r.now(), 0)
-		o.give(statement.Answer{Code: statement.CodeTimeout, Detail: "the statement has reached its time limit"})
+		o.releaseSlot(o.g.r.now(), 0)
+		o.answerCaller(statement.Answer{Code: statement.CodeTimeout, Detail: "the statement has reached its time limit"})
 		return
 	}
-	o.cut("the statement has reached its time limit")
+	o.connLost("the statement has reached its time limit")
 }
 
-// refuse answers that nothing was run.
-func (o *operation) refuse(code statement.Code, why string, after time.Duration) {
-	if !o.ran && (!o.s.tx.open || !o.s.tx.ran) && o.g.r.cfg.Refund != nil && o.s.instance == "" {
+// refuse answers that nothing was run, and refunds the admission if no instance was sent any of it.
+func (o *operation) refuse(code statement.Code, reason string, retryAfter time.Duration) {
+	if !o.everSent && (!o.s.tx.open || !o.s.tx.mayHaveRun) && o.g.r.cfg.Refund != nil && o.s.boundInstance == "" {
 		o.g.r.cfg.Refund(o.s.account)
 	}
 	if o.s.tx.open {
 		// The transaction never began on an instance, or was rolled back.
-		o.s.fail()
+		o.s.failTransaction()
 	}
 	if code == statement.CodeFailed || code == statement.CodeTimeout || code == statement.CodeNotPrepared {
-		// Of a read nothing is kept, so that the caller may be told to come again.
+		// Nothing was run, or only a read, which has no effect: the caller may retry.
 		code = statement.CodeBusy
 	}
-	o.g.r.counts.Refused++
-	o.s.turned = true
-	o.note(EventRefuse, "refuse", why, code)
-	o.give(statement.Answer{Code: code, Detail: why, RetryAfter: after})
+	o.g.r.counters.Refused++
+	o.s.lastRefused = true
+	o.logEvent(EventRefuse, "refuse", reason, code)
+	o.answerCaller(statement.Answer{Code: code, Detail: reason, RetryAfter: retryAfter})
 }
 
-// finish gives the instance's answer.
+// finish answers the caller with the instance's answer.
 func (o *operation) finish(a statement.Answer) {
 	if a.Code == statement.CodeNone {
-		o.g.r.counts.Answered++
+		o.g.r.counters.Answered++
 	}
-	o.give(a)
+	o.answerCaller(a)
 }
 
-// leave gives back the operation's place at an instance, which it held for took; zero
-// tells that nothing is to be learnt from it.
-func (o *operation) leave(now time.Time, took time.Duration) {
+// releaseSlot releases the slot that the operation took in the group's queue. latency is how long it
+// held the slot, zero if that must not count in the queue's history.
+func (o *operation) releaseSlot(now time.Time, latency time.Duration) {
 	delete(o.g.running, o.key)
-	if c := o.conn; c != nil && c.inst.trial == o {
-		c.inst.trial = nil
+	if c := o.conn; c != nil && c.inst.trialRead == o {
+		c.inst.trialRead = nil
 	}
-	o.g.queue.Finished(now, o.key, took)
+	o.g.queue.Finished(now, o.key, latency)
 }
 
-// give ends the operation with an answer to its caller. A commit ends its transaction,
-// however it went.
-func (o *operation) give(a statement.Answer) {
-	if o.over {
+// answerCaller ends the operation with an answer to its caller. A commit ends its transaction whatever
+// its outcome.
+func (o *operation) answerCaller(a statement.Answer) {
+	if o.finished {
 		return
 	}
-	o.over = true
+	o.finished = true
 	s := o.s
 	s.op = nil
 	if o.q.Kind == statement.KindCommit {
 		s.tx = transaction{}
 	}
-	if s.gone {
+	if s.disconnected {
 		return
 	}
-	s.tx.rest = o.g.r.now()
+	s.tx.idleSince = o.g.r.now()
 	a.State = s.state()
-	took := s.tx.rest.Sub(o.asked)
-	if o.g.r.cfg.ObserveLatency != nil && s.instance == "" {
+	took := s.tx.idleSince.Sub(o.startedAt)
+	if o.g.r.cfg.ObserveLatency != nil && s.boundInstance == "" {
 		o.g.r.cfg.ObserveLatency(o.route.Consistency, a.Code, took)
 	}
 	if a.Code != statement.CodeNone || took > o.route.Target && o.route.Target > 0 {
-		o.note(EventAnswer, "answer", a.Detail, a.Code)
+		o.logEvent(EventAnswer, "answer", a.Detail, a.Code)
 	}
-	s.link.Answer(a)
-	s.rest()
+	s.caller.Answer(a)
+	s.closeIfIdle()
 }
 
-// abandon ends the operation of a caller that has gone.
+// abandon ends the operation of a caller that has disconnected.
 func (o *operation) abandon() {
-	if o.over {
+	if o.finished {
 		return
 	}
-	o.over = true
+	o.finished = true
 	if _, ok := o.g.waiting[o.key]; ok {
 		o.g.queue.Remove(o.key)
 		delete(o.g.waiting, o.key)
 		return
 	}
-	o.leave(o.g.r.now(), 0)
+	o.releaseSlot(o.g.r.now(), 0)
 	if c := o.conn; c != nil && c.op == o {
 		c.op, c.session = nil, nil
 		if o.s.tx.conn == c {
 			o.s.tx.conn = nil
 		}
-		c.lost("the caller has gone")
+		c.handleClose("the caller has gone")
 	}
 }
--- a/core/relay/query.go
+++ b/core/relay/query.go
@@ -6,37 +6,35 @@
 	"skylarkdeal/core/statement"
 )
 
-// done answers a statement that needs no instance.
-func (s *Session) done() {
-	s.link.Answer(statement.Answer{State: s.state()})
+// acknowledge answers a statement that needs no instance.
+func (s *Session) acknowledge() {
+	s.caller.Answer(statement.Answer{State: s.state()})
 }
 
-// refuse answers that a statement was not run, and when to come back. In a transaction
-// that fails it.
-func (s *Session) refuse(c statement.Code, why string, after time.Duration) {
+// refuse answers that a statement was not run, and when to retry. An open transaction fails.
+func (s *Session) refuse(c statement.Code, reason string, retryAfter time.Duration) {
 	if s.tx.open {
-		s.fail()
+		s.failTransaction()
 	}
-	s.r.counts.Refused++
-	s.link.Answer(statement.Answer{Code: c, Detail: why, RetryAfter: after, State: s.state()})
+	s.r.counters.Refused++
+	s.caller.Answer(statement.Answer{Code: c, Detail: reason, RetryAfter: retryAfter, State: s.state()})
 }
 
-// fail marks the open transaction as failed and rolls it back.
-func (s *Session) fail() {
+// failTransaction marks the open transaction as failed and rolls it back.
+func (s *Session) failTransaction() {
 	s.tx.failed = true
-	s.release()
+	s.releaseConn()
 }
 
-// Query takes the caller's next statement. Whoever calls it keeps the one after it
-// until this one is answered.
+// Query handles the caller's next statement. It must not be called again before this one is answered.
 func (s *Session) Query(q statement.Statement) {
 	if !s.started {
 		s.reject(statement.CodeMalformed, "a statement before the start of the session")
 		return
 	}
-	s.r.counts.Statements++
+	s.r.counters.Statements++
 	if s.tx.failed && q.Kind != statement.KindCommit && q.Kind != statement.KindRollback {
-		s.link.Answer(statement.Answer{
+		s.caller.Answer(statement.Answer{
 			Code: statement.CodeMalformed, Detail: "the transaction has failed", State: statement.TxFailed,
 		})
 		return
@@ -48,7 +46,7 @@
 		s.prepare(q)
 	case statement.KindDeallocate:
 		delete(s.prepared, q.Name)
-		s.done()
+		s.acknowledge()
 	case statement.KindBegin, statement.KindBeginRead:
 		s.begin(q)
 	case statement.KindRollback:
@@ -63,51 +61,53 @@
 	for n := range s.values {
 		if s.values[n].name == q.Name {
 			s.values[n] = v
-			s.done()
+			s.acknowledge()
 			return
 		}
 	}
-	if len(s.values) >= maxNames {
+	if len(s.values) >= maxSessionEntries {
 		s.refuse(statement.CodeTooMany, "too many values in one session", 0)
 		return
 	}
 	s.values = append(s.values, v)
-	s.done()
+	s.acknowledge()
 }
 
 func (s *Session) prepare(q statement.Statement) {
-	if _, ok := s.prepared[q.Name]; !ok && len(s.prepared) >= maxNames {
+	if _, ok := s.prepared[q.Name]; !ok && len(s.prepared) >= maxSessionEntries {
 		s.refuse(statement.CodeTooMany, "too many prepared statements in one session", 0)
 		return
 	}
-	s.prepared[q.Name] = &prepared{shape: q.Definition, name: sharedName(q.Definition), id: q.ID}
-	s.done()
+	s.prepared[q.Name] = &prepared{definition: q.Definition, name: sharedName(q.Definition), id: q.ID}
+	s.acknowledge()
 }
 
-// begin opens a transaction. No instance hears of it before its first statement, which
-// then finds the connection, so that a caller who pauses here holds none.
+// begin opens a transaction. Nothing is sent to an instance before its first statement, which then
+// finds the connection, so that a caller who pauses here holds none.
 func (s *Session) begin(q statement.Statement) {
 	if s.tx.open {
 		s.refuse(statement.CodeMalformed, "a transaction is open already", 0)
 		return
 	}
-	if !s.enter(q.ID) {
+	if !s.admit(q.ID) {
 		return
 	}
 	now := s.r.now()
 	s.tx = transaction{
-		open: true, read: q.Kind == statement.KindBeginRead, begin: q.ID, after: q.After, asked: now, rest: now,
+		open: true, read: q.Kind == statement.KindBeginRead, beginID: q.ID, requiredPosition: q.After,
+		begunAt: now, idleSince: now,
 	}
-	s.done()
+	s.acknowledge()
 }
 
-// enter begins an operation: by the route, the key and the rate that are in force now.
-func (s *Session) enter(id statement.ID) bool {
-	if s.instance != "" {
+// admit starts an operation by the route, the key and the rate that are in effect now. If one of them
+// forbids it, admit answers the statement and returns false.
+func (s *Session) admit(id statement.ID) bool {
+	if s.boundInstance != "" {
 		return true
 	}
-	if code, why := s.admitted(); code != statement.CodeNone {
-		s.reject(code, why)
+	if code, reason := s.authorise(); code != statement.CodeNone {
+		s.reject(code, reason)
 		return false
 	}
 	a, ok := s.r.catalog.Accounts[s.account]
@@ -118,7 +118,7 @@
 	if ok {
 		return true
 	}
-	s.r.note(Event{
+	s.r.logEvent(Event{
 		Kind: EventRefuse, ID: id, Database: s.database, Service: s.route.Service, Account: s.account,
 		Choice: "refuse", Reason: "the account is over its rate", Code: statement.CodeBusy, Age: wait,
 	})
@@ -127,13 +127,13 @@
 }
 
 func (s *Session) rollback() {
-	s.release()
+	s.releaseConn()
 	s.tx = transaction{}
-	s.done()
-	s.rest()
+	s.acknowledge()
+	s.closeIfIdle()
 }
 
-// run has an instance run a read, a write or a commit.
+// run runs a read, a write or a commit on an instance.
 func (s *Session) run(q statement.Statement) {
 	var p *prepared
 	if q.Kind == statement.KindExecute {
@@ -142,28 +142,28 @@
 			return
 		}
 	}
-	if q.Kind == statement.KindCommit && !s.commits() {
+	if q.Kind == statement.KindCommit && !s.checkCommit() {
 		return
 	}
-	if !s.tx.open && !s.enter(q.ID) {
+	if !s.tx.open && !s.admit(q.ID) {
 		return
 	}
 	newOperation(s, q, p).start()
 }
 
-// commits reports whether a commit is to be run, and else answers it.
-func (s *Session) commits() bool {
+// checkCommit reports whether a commit is to be run, and answers it otherwise.
+func (s *Session) checkCommit() bool {
 	switch {
 	case !s.tx.open:
 		s.refuse(statement.CodeMalformed, "no transaction is open", 0)
 		return false
 	case s.tx.failed:
 		s.tx = transaction{}
-		s.link.Answer(statement.Answer{
+		s.caller.Answer(statement.Answer{
 			Code: statement.CodeAborted, Detail: "the transaction had failed and was rolled back",
 			State: statement.TxNone,
 		})
-		s.rest()
+		s.closeIfIdle()
 		return false
 	}
 	return true
