--- a/core/quota/guard_test.go
+++ b/core/quota/guard_test.go
@@ -45,7 +45,7 @@
 // exchange may be admitted with the expired tokens.
 func TestPausedSpenderSpendsNoExpiredTokens(t *testing.T) {
 	c := qt.New(t)
-	s := quota.Spender{Own: dc}
+	s := quota.Spender{OwnDataCentre: dc}
 	a := quota.Ask{Urgent: 5}
 	answered := epoch.Add(50 * time.Millisecond)
 	s.Granted(answered, epoch, dc, a, quota.Grant{ID: 1, Tokens: 5})
@@ -90,7 +90,7 @@
 	owner     = quota.Process{Host: "o1", Epoch: 1}
 	witness   = quota.Process{Host: "o2", Epoch: 7}
 	successor = quota.Process{Host: "o3", Epoch: 1}
-	record    = quota.OwnershipRecord{Holder: owner, Lease: 11, Witness: witness, Tenure: 4}
+	record    = quota.OwnershipRecord{Owner: owner, Lease: 11, Witness: witness, Tenure: 4}
 )
 
 // ownedUntilLeaseEnd returns an ownership whose lease ends a second after epoch.
@@ -145,7 +145,7 @@
 // successor may take the ownership only after that consent has been withdrawn and has ended.
 func TestSuccessorWaitsForConsentToEnd(t *testing.T) {
 	c := qt.New(t)
-	w := quota.Witness{Since: epoch.Add(-time.Hour)}
+	w := quota.Witness{StartedAt: epoch.Add(-time.Hour)}
 	c.Assert(w.Consent(epoch, dc, 4), qt.IsTrue)
 	var claim quota.Claim
 	c.Assert(claim.Next(epoch, successor, 21, record, true), qt.Equals, quota.StepIdle)
@@ -162,7 +162,7 @@
 // A witness that has just restarted may have consented shortly before. It reports the longest time
 // for which such a consent may stand.
 func TestRestartedWitnessReportsPossibleEarlierConsent(t *testing.T) {
-	w := quota.Witness{Since: epoch}
+	w := quota.Witness{StartedAt: epoch}
 	qt.Assert(t, w.Withdraw(epoch.Add(100*time.Millisecond), dc, 4) > quota.ConsentLifetime, qt.IsTrue)
 }
 
@@ -192,7 +192,7 @@
 func TestPendingSwapIsSwappedAgain(t *testing.T) {
 	c := qt.New(t)
 	var claim quota.Claim
-	claim.Tried(record)
+	claim.SwapSent(record)
 	c.Assert(claim.Next(epoch, owner, 11, record, true), qt.Equals, quota.StepSwap)
 	applied := quota.ClaimedRecord(record, owner, 11, successor)
 	c.Assert(claim.Next(epoch, owner, 11, applied, true), qt.Equals, quota.StepAdopt)
@@ -221,7 +221,7 @@
 }
 
 func BenchmarkTake(b *testing.B) {
-	s := quota.Spender{Own: dc}
+	s := quota.Spender{OwnDataCentre: dc}
 	s.Granted(epoch, epoch, dc, quota.Ask{}, quota.Grant{ID: 1, Tokens: 1 << 60})
 	b.ReportAllocs()
 	for b.Loop() {
@@ -233,7 +233,7 @@
 
 func BenchmarkAskAndGrant(b *testing.B) {
 	h, now := newFilledHome(quota.Share{Rate: 1e9, Burst: 1e9})
-	s := quota.Spender{Own: dc}
+	s := quota.Spender{OwnDataCentre: dc}
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(10 * time.Millisecond)
--- a/core/quota/seat.go
+++ b/core/quota/seat.go
@@ -20,8 +20,8 @@
 // OwnershipRecord is what the platform's store holds of an ownership. It is
 // only changed by compare-and-swap, and stays when its owner's lease ends.
 type OwnershipRecord struct {
-	// Holder is the owner; the zero Process when it gave the ownership up.
-	Holder Process `json:"holder"`
+	// Owner is the owner; the zero Process when it gave the ownership up.
+	Owner Process `json:"holder"`
 	// Lease names the registration in the store under which the owner took the
 	// ownership. An owner whose lease has lapsed registers again and has to
 	// swap the record for one with the new lease. The swap of a claimant that
@@ -133,17 +133,17 @@
 	return o.record
 }
 
-// Until returns the end of the lease, from which on consent is needed.
-func (o *Ownership) Until() time.Time {
+// LeaseUntil returns the end of the lease, from which on consent is needed.
+func (o *Ownership) LeaseUntil() time.Time {
 	return o.leaseUntil
 }
 
 // Witness holds the consents that one process has given. The zero Witness
 // works.
 type Witness struct {
-	// Since is when the process started: an earlier process of the same host
+	// StartedAt is when the process started: an earlier process of the same host
 	// may have consented until shortly before.
-	Since time.Time
+	StartedAt time.Time
 
 	consents map[OwnershipID]consent
 }
@@ -173,7 +173,7 @@
 	c := w.consents[id]
 	c.withdrawnTenure = max(c.withdrawnTenure, tenure)
 	w.setConsent(id, c)
-	return max(0, c.expiresAt.Sub(now), w.Since.Add(consentCountedFor).Sub(now))
+	return max(0, c.expiresAt.Sub(now), w.StartedAt.Add(consentCountedFor).Sub(now))
 }
 
 func (w *Witness) setConsent(id OwnershipID, c consent) {
@@ -218,10 +218,10 @@
 // Next returns the next step after the store has returned the record r; leased
 // tells whether the lease of its owner stands.
 func (c *Claim) Next(now time.Time, self Process, lease uint64, r OwnershipRecord, leased bool) Step {
-	if r.Holder == self && r.Lease == lease {
+	if r.Owner == self && r.Lease == lease {
 		return c.stepForOwnRecord(r)
 	}
-	if r.Holder == self || r.Holder == (Process{}) {
+	if r.Owner == self || r.Owner == (Process{}) {
 		return StepSwap
 	}
 	if leased {
@@ -243,9 +243,9 @@
 	return StepWithdraw
 }
 
-// Tried notes that a swap of the record r has been sent, whether for another
+// SwapSent notes that a swap of the record r has been sent, whether for another
 // witness, for another lease, or to give the ownership up.
-func (c *Claim) Tried(r OwnershipRecord) {
+func (c *Claim) SwapSent(r OwnershipRecord) {
 	c.pendingTenure = r.Tenure + 1
 }
 
@@ -270,5 +270,5 @@
 
 // ClaimedRecord returns the record by which a claim of self replaces r.
 func ClaimedRecord(r OwnershipRecord, self Process, lease uint64, witness Process) OwnershipRecord {
-	return OwnershipRecord{Holder: self, Lease: lease, Witness: witness, Tenure: r.Tenure + 1}
+	return OwnershipRecord{Owner: self, Lease: lease, Witness: witness, Tenure: r.Tenure + 1}
 }
--- a/core/quota/spender.go
+++ b/core/quota/spender.go
@@ -23,8 +23,8 @@
 // any goroutine; all other methods belong to one.
 type Spender struct {
 	Host fleet.Host
-	// Own is the host's data centre, whose home is asked first.
-	Own fleet.DataCentre
+	// OwnDataCentre is the host's data centre, whose home is asked first.
+	OwnDataCentre fleet.DataCentre
 
 	// current is the grant that Take spends.
 	current atomic.Pointer[heldGrant]
@@ -162,7 +162,7 @@
 // homesInOrder returns the data centres in the order in which their homes are
 // asked, the own one first.
 func (s *Spender) homesInOrder(all []fleet.DataCentre) []fleet.DataCentre {
-	i := slices.Index(all, s.Own)
+	i := slices.Index(all, s.OwnDataCentre)
 	if i <= 0 {
 		return all
 	}
@@ -273,11 +273,11 @@
 	return now.Sub(s.demand.lastTakenAt) > d
 }
 
-// Soonest returns the least time until n tokens may be at hand, if no other
+// MinWait returns the least time until n tokens may be at hand, if no other
 // host wanted any: whole is the account's whole rate and burst. An exchange
 // can't be admitted any earlier if it and those that wait before it need n
 // tokens.
-func (s *Spender) Soonest(now time.Time, whole Share, n Tokens, all []fleet.DataCentre) time.Duration {
+func (s *Spender) MinWait(now time.Time, whole Share, n Tokens, all []fleet.DataCentre) time.Duration {
 	if whole.Rate <= 0 {
 		return time.Second
 	}
--- a/internal/experiment/rates/host.go
+++ b/internal/experiment/rates/host.go
@@ -74,8 +74,8 @@
 func (h *Host) boot() {
 	h.process = quota.Process{Host: h.name, Epoch: h.process.Epoch + 1}
 	h.doc, h.home, h.seat, h.claim = h.w.Doc, quota.Home{}, quota.Ownership{}, quota.Claim{}
-	h.witness = quota.Witness{Since: h.early()}
-	h.spender = quota.Spender{Host: h.name, Own: h.dc}
+	h.witness = quota.Witness{StartedAt: h.early()}
+	h.spender = quota.Spender{Host: h.name, OwnDataCentre: h.dc}
 	h.lease, h.waiters, h.dead = roster.Lease{}, nil, 0
 	h.target = map[fleet.DataCentre]int{}
 	h.roundEnds = 0
--- a/internal/experiment/rates/seats.go
+++ b/internal/experiment/rates/seats.go
@@ -66,7 +66,7 @@
 	h.round++
 	if h.seat.Held() {
 		h.seat.LeaseRenewed(h.lease.Name, h.lease.Until())
-		if now.After(h.seat.Until().Add(-1500 * time.Millisecond)) {
+		if now.After(h.seat.LeaseUntil().Add(-1500 * time.Millisecond)) {
 			h.askConsent()
 		}
 		if h.w.Chaos && h.w.random.IntN(20) == 0 {
@@ -120,7 +120,7 @@
 	h.roundEnds = h.w.now + 4*time.Second
 	seatCall(h, func() read {
 		r := h.w.seats[h.seatName()]
-		l := h.w.leases[r.Holder.Host]
+		l := h.w.leases[r.Owner.Host]
 		return read{r, l.name == r.Lease && l.until >= h.w.now, h.w.left[h.seatName()]}
 	}, func(v read) {
 		l := h.lease.Name
@@ -157,7 +157,7 @@
 
 func (h *Host) swap(old, next quota.OwnershipRecord, left float64) {
 	h.seat.BeginSwap()
-	h.claim.Tried(old)
+	h.claim.SwapSent(old)
 	h.roundEnds = h.w.now + 4*time.Second
 	seatCall(h, func() bool {
 		if h.w.seats[h.seatName()] != old {
@@ -203,12 +203,12 @@
 func (h *Host) yield() {
 	r := h.seat.Record()
 	left := h.home.State().Level
-	h.claim.Tried(r)
+	h.claim.SwapSent(r)
 	h.lose()
 	h.roundEnds = h.w.now + 4*time.Second
 	seatCall(h, func() bool {
 		now := h.w.seats[h.seatName()]
-		if now.Holder != r.Holder || now.Tenure != r.Tenure {
+		if now.Owner != r.Owner || now.Tenure != r.Tenure {
 			return false
 		}
 		h.w.seats[h.seatName()] = quota.OwnershipRecord{Tenure: r.Tenure + 1}
--- a/internal/experiment/rates/spend.go
+++ b/internal/experiment/rates/spend.go
@@ -61,7 +61,7 @@
 	}
 	for len(h.waiters) > 0 {
 		n := len(h.waiters)
-		if !now.Add(h.spender.Soonest(now, h.rate(), quota.Tokens(n), h.dcs())).After(h.waiters[n-1].limit) {
+		if !now.Add(h.spender.MinWait(now, h.rate(), quota.Tokens(n), h.dcs())).After(h.waiters[n-1].limit) {
 			break
 		}
 		h.refuse(n - 1)
--- a/io/grants/claims.go
+++ b/io/grants/claims.go
@@ -123,7 +123,7 @@
 	defer r.mu.Unlock()
 	for h, g := range r.given {
 		now := c.seats[shardKey(h)]
-		if now.Holder != r.process() {
+		if now.Owner != r.process() {
 			delete(r.given, h)
 			continue
 		}
@@ -174,7 +174,7 @@
 func (r *Runtime) planSwap(c *change, h roster.Shard, read storedSeat, left []leftover) {
 	s := r.seat(h)
 	s.tenure.BeginSwap()
-	s.claim.Tried(read.OwnershipRecord)
+	s.claim.SwapSent(read.OwnershipRecord)
 	c.seats[shardKey(h)] = storedSeat{
 		OwnershipRecord: quota.ClaimedRecord(read.OwnershipRecord, r.process(), c.lease, r.pickWitness()),
 	}
@@ -228,17 +228,17 @@
 // its lease without asking: to rest is always safe, and it costs no call.
 func (r *Runtime) stands(ctx context.Context, rec quota.OwnershipRecord,
 	known map[quota.OwnershipRecord]bool) (bool, error) {
-	if rec.Holder == (quota.Process{}) || rec.Holder == r.process() {
+	if rec.Owner == (quota.Process{}) || rec.Owner == r.process() {
 		return false, nil
 	}
-	if m, ok := r.member(rec.Holder.Host); ok && !m.Leaving && r.cfg.Store.Epoch(m.Host) == rec.Holder.Epoch {
+	if m, ok := r.member(rec.Owner.Host); ok && !m.Leaving && r.cfg.Store.Epoch(m.Host) == rec.Owner.Epoch {
 		return true, nil
 	}
-	k := quota.OwnershipRecord{Holder: rec.Holder, Lease: rec.Lease}
+	k := quota.OwnershipRecord{Owner: rec.Owner, Lease: rec.Lease}
 	if v, ok := known[k]; ok {
 		return v, nil
 	}
-	v, err := r.cfg.Store.Standing(ctx, rec.Holder.Host, rec.Lease)
+	v, err := r.cfg.Store.Standing(ctx, rec.Owner.Host, rec.Lease)
 	if err != nil {
 		return false, failure.At(err, "read lease", "store")
 	}
--- a/io/grants/consent.go
+++ b/io/grants/consent.go
@@ -48,7 +48,7 @@
 	defer r.mu.Unlock()
 	for n, s := range r.seats {
 		rec := s.tenure.Record()
-		if !s.tenure.Held() || rec.Witness.Host == "" || now.Before(s.tenure.Until().Add(-consentBefore)) {
+		if !s.tenure.Held() || rec.Witness.Host == "" || now.Before(s.tenure.LeaseUntil().Add(-consentBefore)) {
 			continue
 		}
 		out[rec.Witness] = append(out[rec.Witness], tenureOf{n, rec.Tenure})
--- a/io/grants/grants.go
+++ b/io/grants/grants.go
@@ -126,7 +126,7 @@
 		lastID:   firstID(cfg.Host, cfg.Epoch),
 	}
 	r.clock.start(cfg.Now)
-	r.witness.Since = r.clock.late()
+	r.witness.StartedAt = r.clock.late()
 	r.initMetrics()
 	r.claiming.Store(cfg.Store.List != nil)
 	return r
--- a/io/grants/seats.go
+++ b/io/grants/seats.go
@@ -143,7 +143,7 @@
 		case s.tenure.Held():
 			s.tenure.LeaseRenewed(0, forever)
 		default:
-			s.tenure.Acquired(quota.OwnershipRecord{Holder: r.process()})
+			s.tenure.Acquired(quota.OwnershipRecord{Owner: r.process()})
 			s.tenure.LeaseRenewed(0, forever)
 			r.startHomes(h, nil)
 		}
@@ -244,7 +244,7 @@
 	}
 	rec := s.tenure.Record()
 	r.given[h] = given{rec.Tenure, r.leftovers(h)}
-	s.claim.Tried(rec)
+	s.claim.SwapSent(rec)
 	s.yield = time.Time{}
 	r.lose(h, s)
 }
