--- a/core/document/document_test.go
+++ b/core/document/document_test.go
@@ -153,7 +153,7 @@
 func TestStampRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	s := document.Stamp{
-		Edit: "abc", Seq: 9, After: 12, Base: 100, By: "aiko", At: time.Date(2026, 12, 2, 3, 4, 5, 0, time.UTC),
+		EditID: "abc", Seq: 9, After: 12, Base: 100, By: "aiko", At: time.Date(2026, 12, 2, 3, 4, 5, 0, time.UTC),
 	}
 	value := document.AddStamp(s, []byte("[service]\n"))
 	got, text := document.SplitStamp(value)
@@ -259,9 +259,9 @@
 		"[instance \"a\"]\naddress = 10.0.0.1:5432\ndata-centre = obihiro\n" +
 		"[account \"bakery\"]\nrate = 5/s\nkey.spring = %s\nkey.autumn = %s\n"
 	salt := document.AccountSalt("orders", "bakery")
-	spring, err := document.VerifierOf("sample-spring-key", salt)
+	spring, err := document.NewVerifierWithSalt("sample-spring-key", salt)
 	c.Assert(err, qt.IsNil)
-	autumn, err := document.VerifierOf("sample-autumn-key", salt)
+	autumn, err := document.NewVerifierWithSalt("sample-autumn-key", salt)
 	c.Assert(err, qt.IsNil)
 	_, err = document.Parse([]byte(fmt.Sprintf(text, spring, autumn)), 1)
 	c.Assert(err, qt.IsNil)
--- a/core/document/parse.go
+++ b/core/document/parse.go
@@ -71,7 +71,7 @@
 	case kind == "account" && isQuotedName(quoted):
 		d.Accounts = append(d.Accounts, parseAccount(f.Section(name), unquote(quoted)))
 	default:
-		f.AddInvalid(name, "", "an unknown section", sectionsFormat+", with "+inifile.NameForm)
+		f.AddInvalid(name, "", "an unknown section", sectionsFormat+", with "+inifile.NameFormat)
 	}
 }
 
@@ -105,7 +105,7 @@
 	for _, n := range s.List(key) {
 		c := fleet.DataCentre(n)
 		if !inifile.IsName(n) || slices.Contains(out, c) {
-			s.AddInvalid(key, strconv.Quote(n), "each data centre once, "+inifile.NameForm)
+			s.AddInvalid(key, strconv.Quote(n), "each data centre once, "+inifile.NameFormat)
 			continue
 		}
 		out = append(out, c)
@@ -147,7 +147,7 @@
 			continue
 		}
 		if !inifile.IsName(n) {
-			s.AddInvalid(k, "a key without a proper name", keyPrefix+"<name>, with "+inifile.NameForm)
+			s.AddInvalid(k, "a key without a proper name", keyPrefix+"<name>, with "+inifile.NameFormat)
 		}
 		v, _ := s.Value(k)
 		if err := CheckVerifier(v); err != nil {
--- a/core/document/stamp.go
+++ b/core/document/stamp.go
@@ -25,9 +25,9 @@
 // the document in the store, an INI comment. A document written by another tool
 // has none.
 type Stamp struct {
-	// Edit is the ID of the edit. When the store's response to a write is lost, the
+	// EditID is the ID of the edit. When the store's response to a write is lost, the
 	// editor finds out by it whether the write took effect.
-	Edit string
+	EditID string
 	// Seq is the number of the edit, counted from 1 for each document.
 	Seq uint64
 	// After is the version that the edit replaced, zero if there was none. Of all
@@ -47,7 +47,7 @@
 // String returns the stamp's line without a line break. Spaces in By become hyphens.
 func (s Stamp) String() string {
 	return fmt.Sprintf("%sedit=%s seq=%d after=%d base=%d by=%s at=%s", stampPrefix,
-		s.Edit, s.Seq, s.After, s.Base, strings.ReplaceAll(s.By, " ", "-"), s.At.UTC().Format(time.RFC3339))
+		s.EditID, s.Seq, s.After, s.Base, strings.ReplaceAll(s.By, " ", "-"), s.At.UTC().Format(time.RFC3339))
 }
 
 // AddStamp returns the value to write to the store: the stamp, then text.
@@ -68,7 +68,7 @@
 		k, v, _ := strings.Cut(f, "=")
 		switch k {
 		case "edit":
-			s.Edit = v
+			s.EditID = v
 		case "seq":
 			s.Seq, _ = strconv.ParseUint(v, 10, 64)
 		case "after":
--- a/core/document/verifier.go
+++ b/core/document/verifier.go
@@ -48,7 +48,7 @@
 	if _, err := rand.Read(salt); err != nil {
 		return "", err
 	}
-	return VerifierOf(key, salt)
+	return NewVerifierWithSalt(key, salt)
 }
 
 // AccountSalt returns the salt that all keys of an account share.
@@ -63,8 +63,8 @@
 	return sum[:saltSize]
 }
 
-// VerifierOf returns the verifier of key with the given salt, or ErrInvalidKey.
-func VerifierOf(key string, salt []byte) (string, error) {
+// NewVerifierWithSalt returns the verifier of key with the given salt, or ErrInvalidKey.
+func NewVerifierWithSalt(key string, salt []byte) (string, error) {
 	if len(key) < MinKeyLength || len(key) > maxKeyLength || strings.ContainsFunc(key, isInvalidKeyChar) {
 		return "", ErrInvalidKey
 	}
--- a/core/inifile/inifile.go
+++ b/core/inifile/inifile.go
@@ -228,8 +228,8 @@
 	return f.mistakes
 }
 
-// In returns a copy of m with file as the file name of each mistake.
-func (m Mistakes) In(file string) Mistakes {
+// WithFile returns a copy of m with file as the file name of each mistake.
+func (m Mistakes) WithFile(file string) Mistakes {
 	out := slices.Clone(m)
 	for n := range out {
 		out[n].File = file
--- a/core/inifile/section.go
+++ b/core/inifile/section.go
@@ -89,9 +89,9 @@
 
 // Name returns the value of key. A value that is missing or not a name is a mistake.
 func (s *Section) Name(key string) string {
-	v := s.Required(key, NameForm)
+	v := s.Required(key, NameFormat)
 	if v != "" && !IsName(v) {
-		s.AddInvalid(key, strconv.Quote(v), NameForm)
+		s.AddInvalid(key, strconv.Quote(v), NameFormat)
 	}
 	return v
 }
@@ -203,9 +203,9 @@
 // Address returns the value of key. A value that is missing or not an IP address and port
 // is a mistake.
 func (s *Section) Address(key string) string {
-	v := s.Required(key, AddressForm)
+	v := s.Required(key, AddressFormat)
 	if v != "" && !IsAddress(v) {
-		s.AddInvalid(key, strconv.Quote(v), AddressForm)
+		s.AddInvalid(key, strconv.Quote(v), AddressFormat)
 	}
 	return v
 }
@@ -216,7 +216,7 @@
 	l := s.List(key)
 	for _, a := range l {
 		if !IsAddress(a) {
-			s.AddInvalid(key, strconv.Quote(a), "a list of addresses, each "+AddressForm)
+			s.AddInvalid(key, strconv.Quote(a), "a list of addresses, each "+AddressFormat)
 		}
 	}
 	return l
@@ -238,8 +238,8 @@
 
 // The formats of names and addresses, as shown in mistakes.
 const (
-	NameForm    = "a name of lower-case letters, digits and single hyphens"
-	AddressForm = "an IP address and port, such as 10.0.0.1:6432"
+	NameFormat    = "a name of lower-case letters, digits and single hyphens"
+	AddressFormat = "an IP address and port, such as 10.0.0.1:6432"
 
 	maxNameLength = 63
 )
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -119,17 +119,23 @@
 func TestVerificationNeedsAStatusAskedForAfterTheAnswer(t *testing.T) {
 	c := qt.New(t)
 	var p leader.PendingAnswers
-	p.Add(leader.PendingAnswer{Key: 1, Term: 1, ReceivedAt: start, Deadline: start.Add(time.Second)}, []fleet.Instance{"b", "c"})
+	p.Add(leader.PendingAnswer{
+		Key: 1, Term: 1, ReceivedAt: start, Deadline: start.Add(time.Second),
+	}, []fleet.Instance{"b", "c"})
 	verified, refuted := p.AddStatus("b", start.Add(-time.Millisecond), 1)
 	c.Assert(len(verified)+len(refuted), qt.Equals, 0)
 	p.AddStatus("b", start, 1)
 	verified, _ = p.AddStatus("c", start.Add(time.Millisecond), 1)
 	c.Assert(verified, qt.HasLen, 1)
 
-	p.Add(leader.PendingAnswer{Key: 2, Term: 1, ReceivedAt: start, Deadline: start.Add(time.Second)}, []fleet.Instance{"b", "c"})
+	p.Add(leader.PendingAnswer{
+		Key: 2, Term: 1, ReceivedAt: start, Deadline: start.Add(time.Second),
+	}, []fleet.Instance{"b", "c"})
 	_, refuted = p.AddStatus("c", start, 2)
 	c.Assert(refuted, qt.HasLen, 1)
-	p.Add(leader.PendingAnswer{Key: 3, Term: 1, ReceivedAt: start, Deadline: start.Add(time.Second)}, []fleet.Instance{"b"})
+	p.Add(leader.PendingAnswer{
+		Key: 3, Term: 1, ReceivedAt: start, Deadline: start.Add(time.Second),
+	}, []fleet.Instance{"b"})
 	c.Assert(p.Expire(start.Add(time.Second)), qt.HasLen, 0)
 	c.Assert(p.Expire(start.Add(time.Second+1)), qt.HasLen, 1)
 	c.Assert(p.Len(), qt.Equals, 0)
--- a/core/relay/conn.go
+++ b/core/relay/conn.go
@@ -303,7 +303,7 @@
 // stepDown makes a primary of a term below t step down, and handles the status that the instance
 // answers with. reply, which may be nil, receives the answer.
 func (c *Conn) stepDown(t fleet.Term, reply func(a statement.Answer)) {
-	c.g.r.counters.Asked++
+	c.g.r.counters.StatusRequests++
 	c.setState(connBusy)
 	asked := c.stateSince
 	q := statement.Statement{Kind: statement.KindStepDown, Term: t}
--- a/core/relay/coordination.go
+++ b/core/relay/coordination.go
@@ -201,7 +201,7 @@
 	o.Service = g.name
 	g.r.logEvent(Event{
 		Kind: EventLeader, Service: g.name, Instance: o.Primary, Term: o.Term,
-		Choice: "request a promotion", Reason: string(o.Reason), RequiredPoint: g.instances[o.Primary].received,
+		Choice: "request a promotion", Reason: string(o.Reason), RequiredPosition: g.instances[o.Primary].received,
 	})
 	g.r.cfg.RequestPromotion(o)
 }
--- a/core/relay/crowd_test.go
+++ b/core/relay/crowd_test.go
@@ -88,7 +88,7 @@
 		w := worldOf(c, relay.Peer{Host: "h1", DataCentre: "obihiro"}, age)
 		var got []statement.Answer
 		w.relay.HandleForward(1, relay.Forward{
-			Stream: 1, Service: "ledger", Instance: "l", Account: "hotel", Left: time.Second, Open: true, Close: true,
+			Stream: 1, Service: "ledger", Instance: "l", Account: "hotel", Timeout: time.Second, Open: true, Close: true,
 			Statements: []statement.Statement{{ID: "f1", Kind: statement.KindRead, Text: "item"}},
 		}, func(a statement.Answer) { got = append(got, a) })
 		w.relay.SetInstances(w.instancesOf("ledger", "l"), w.now)
--- a/core/relay/evacuation_test.go
+++ b/core/relay/evacuation_test.go
@@ -31,7 +31,7 @@
 func (w *world) forward(i fleet.Instance, q statement.Statement) []statement.Answer {
 	var got []statement.Answer
 	w.relay.HandleForward(1, relay.Forward{
-		Stream: 1, Service: service, Instance: i, Account: "hotel", Left: time.Second, Open: true, Close: true,
+		Stream: 1, Service: service, Instance: i, Account: "hotel", Timeout: time.Second, Open: true, Close: true,
 		Statements: []statement.Statement{q},
 	}, func(a statement.Answer) { got = append(got, a) })
 	w.pass(50*time.Millisecond, true)
--- a/core/relay/event.go
+++ b/core/relay/event.go
@@ -47,10 +47,10 @@
 	Term       fleet.Term
 	// Consistency is that of the route.
 	Consistency catalog.Consistency
-	// RequiredPoint is the log position that a read had to cover; for a promotion request, the last received
-	// position of the instance to be promoted. InstancePoint is the last known position of the instance's log,
+	// RequiredPosition is the log position that a read had to cover; for a promotion request, the last received
+	// position of the instance to be promoted. InstancePosition is the last known position of the instance's log,
 	// Received the end of what the instance had received, by its own status.
-	RequiredPoint, InstancePoint, Received fleet.LogPosition
+	RequiredPosition, InstancePosition, Received fleet.LogPosition
 	// Age is how old the input of the decision was.
 	Age time.Duration
 	// Took is the time from the caller's statement to this event.
--- a/core/relay/forward.go
+++ b/core/relay/forward.go
@@ -18,9 +18,9 @@
 	Instance   fleet.Instance
 	Account    fleet.Account
 	Statements []statement.Statement
-	// Left is how long the last statement may take, Wait how long it may wait in the queue: as long as
-	// Left if it is zero.
-	Left, Wait time.Duration
+	// Timeout is how long the last statement may take, QueueWait how long it may wait in the queue: as long as
+	// Timeout if it is zero.
+	Timeout, QueueWait time.Duration
 	// Open opens the stream. Nothing else does: a statement of a transaction must not run outside of it
 	// when the stream has ended.
 	Open bool
@@ -192,7 +192,7 @@
 		}
 		if c.op != nil {
 			now := i.g.r.now()
-			f.Left, f.Wait = c.op.deadline.Sub(now), max(c.op.waitDeadline().Sub(now), minForwardWait)
+			f.Timeout, f.QueueWait = c.op.deadline.Sub(now), max(c.op.waitDeadline().Sub(now), minForwardWait)
 			f.Close = !c.op.s.tx.open
 			c.closesAfterReply = f.Close
 		}
@@ -287,7 +287,7 @@
 		}
 		reply(a)
 	}
-	s.route.Timeout, s.route.Target = f.Left, f.Wait/maxWaitTargets
+	s.route.Timeout, s.route.Target = f.Timeout, f.QueueWait/maxWaitTargets
 	for n, q := range f.Statements {
 		last = n == len(f.Statements)-1
 		s.Query(q)
--- a/core/relay/forward_test.go
+++ b/core/relay/forward_test.go
@@ -47,7 +47,7 @@
 	var got []statement.Answer
 	reply := func(a statement.Answer) { got = append(got, a) }
 	f := relay.Forward{
-		Stream: 1, Service: service, Instance: "a", Account: "hotel", Left: time.Second, Open: true,
+		Stream: 1, Service: service, Instance: "a", Account: "hotel", Timeout: time.Second, Open: true,
 		Statements: []statement.Statement{
 			{ID: "b", Kind: statement.KindBegin}, {ID: "w1", Kind: statement.KindWrite, Text: "1 a"},
 		},
@@ -130,7 +130,8 @@
 	w := newWorld(c).settled()
 	var got []statement.Answer
 	f := relay.Forward{
-		Stream: 1, Service: service, Instance: "b", Account: "hotel", Left: time.Second, Wait: time.Second, Open: true,
+		Stream: 1, Service: service, Instance: "b", Account: "hotel", Open: true,
+		Timeout: time.Second, QueueWait: time.Second,
 		Statements: []statement.Statement{
 			{ID: "b", Kind: statement.KindBeginRead, After: fleet.Some(fleet.LogPosition{Term: 1, Index: 9})},
 			{ID: "r", Kind: statement.KindRead, Text: "item"},
@@ -169,8 +170,8 @@
 	var got []statement.Answer
 	for n := range 6 {
 		f := relay.Forward{
-			Stream: uint64(n), Service: service, Instance: "b", Account: "hotel", Left: time.Second, //nolint:gosec // small
-			Wait: time.Millisecond, Open: true, Close: true,
+			Stream: uint64(n), Service: service, Instance: "b", Account: "hotel", Timeout: time.Second, //nolint:gosec // small
+			QueueWait: time.Millisecond, Open: true, Close: true,
 			Statements: []statement.Statement{{ID: "r", Kind: statement.KindRead, Text: "item"}},
 		}
 		w.instances["b"].hold = true
--- a/core/relay/model_test.go
+++ b/core/relay/model_test.go
@@ -78,8 +78,8 @@
 		Admit: func(catalog.Account) (time.Duration, bool) { return 0, true },
 		LogEvent: func(e relay.Event) {
 			if e.Kind == relay.EventLeader || e.Kind == relay.EventPlace || e.Kind == relay.EventRetry {
-				m.say("host: %s %s %s need %v has %v term %d: %s", e.Choice, e.Instance, e.ID, e.RequiredPoint,
-					e.InstancePoint, e.Term, e.Reason)
+				m.say("host: %s %s %s need %v has %v term %d: %s", e.Choice, e.Instance, e.ID, e.RequiredPosition,
+					e.InstancePosition, e.Term, e.Reason)
 			}
 		},
 	})
--- a/core/relay/operation.go
+++ b/core/relay/operation.go
@@ -345,10 +345,10 @@
 		Choice: choice, Reason: reason, Code: code, Took: o.g.r.now().Sub(o.startedAt), Consistency: o.route.Consistency,
 	}
 	if o.conn != nil {
-		e.Instance, e.InstancePoint = o.conn.Instance, o.conn.inst.position
+		e.Instance, e.InstancePosition = o.conn.Instance, o.conn.inst.position
 	}
 	if p, ok := o.requiredPosition.Get(); ok {
-		e.RequiredPoint = p
+		e.RequiredPosition = p
 	}
 	if s, ok := o.g.samples.Oldest(o.asOf); ok && k == EventPlace {
 		e.Age = o.g.r.now().Sub(s.AskedAt)
--- a/core/relay/reign_test.go
+++ b/core/relay/reign_test.go
@@ -149,11 +149,11 @@
 	w.pass(1100*time.Millisecond, true)
 	w.promote()
 	w.pass(200*time.Millisecond, true)
-	before := w.relay.State().Counts.Asked
+	before := w.relay.State().Counts.StatusRequests
 	for range 100 {
 		w.reads("stock", 100*time.Millisecond, true)
 	}
-	asked := w.relay.State().Counts.Asked - before
+	asked := w.relay.State().Counts.StatusRequests - before
 	c.Assert(asked > 0 && asked < 50, qt.IsTrue, qt.Commentf("%d questions to two replicas in 10 s", asked))
 }
 
--- a/core/relay/verify.go
+++ b/core/relay/verify.go
@@ -70,7 +70,7 @@
 	g.samples.Add(s)
 	if g.promotionRecent(g.r.now()) && g.sampledAt.Before(g.promotionKnownAt) {
 		g.r.logEvent(Event{
-			Kind: EventLeader, Service: g.name, Instance: i, InstancePoint: s.Position, Term: s.PrimaryTerm,
+			Kind: EventLeader, Service: g.name, Instance: i, InstancePosition: s.Position, Term: s.PrimaryTerm,
 			Choice: "use its log position for reads", Reason: "first sample since the promotion",
 			Age: g.r.now().Sub(s.AskedAt),
 		})
@@ -113,7 +113,7 @@
 	if i.term != s.Term && g.promotionRecent(now) {
 		g.r.logEvent(Event{
 			Kind: EventInstance, Service: g.name, Instance: i.info.Name, Term: s.Term, Received: s.Received,
-			InstancePoint: i.position, Choice: "in a new term", Reason: "it reports that it is a " + string(s.Role),
+			InstancePosition: i.position, Choice: "in a new term", Reason: "it reports that it is a " + string(s.Role),
 		})
 	}
 	i.received, i.leads, i.term = s.Received, s.Role == fleet.RolePrimary, s.Term
@@ -128,7 +128,7 @@
 	g.primaryHeardAt, g.primaryConfirmedAt = now, now
 	g.r.logEvent(Event{
 		Kind: EventLeader, Service: g.name, Instance: i.info.Name, Term: s.Term,
-		InstancePoint: i.position, Received: s.Received,
+		InstancePosition: i.position, Received: s.Received,
 		Choice: "use as the primary", Reason: "it reports that it is the primary", Age: now.Sub(g.promotionKnownAt),
 	})
 }
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -95,25 +95,25 @@
 // Adapter describes the platform that the host runs on.
 type Adapter struct {
 	Kind AdapterKind
-	// Balancer is the address at which the load balancer asks whether the host is ready.
-	Balancer string
-	// Promotions is the address to which the host sends promotion requests.
-	Promotions string
-	// Grace is how long a shutdown may take, from its request to the end of the process.
-	Grace time.Duration
+	// BalancerAddress is the address at which the load balancer asks whether the host is ready.
+	BalancerAddress string
+	// PromotionsAddress is the address to which the host sends promotion requests.
+	PromotionsAddress string
+	// ShutdownTimeout is how long a shutdown may take, from its request to the end of the process.
+	ShutdownTimeout time.Duration
 	// RateWindow is the interval over which an account's rate and burst are counted.
 	RateWindow time.Duration
-	// PromotionLeast is the shortest time in which the platform carries out any promotion request,
-	// and PromotionDelay the time that it usually takes.
-	PromotionLeast, PromotionDelay time.Duration
+	// MinPromotionTime is the shortest time in which the platform carries out any promotion request,
+	// and UsualPromotionTime the time that it usually takes.
+	MinPromotionTime, UsualPromotionTime time.Duration
 	// Memory is the most memory that the process may use, in bytes.
 	Memory int
 	// Capacity is how much of the processor the host may use, in cores; zero if it isn't known.
 	Capacity fleet.Capacity
-	// Evacuate is how long an evacuation of a data centre may take.
-	Evacuate time.Duration
-	// Cold limits how far the fleet may exceed the rate that a cold instance can carry.
-	Cold cold.Limit
+	// EvacuationTimeout is how long an evacuation of a data centre may take.
+	EvacuationTimeout time.Duration
+	// ColdLimit limits how far the fleet may exceed the rate that a cold instance can carry.
+	ColdLimit cold.Limit
 }
 
 // Level is the severity of a log line.
@@ -222,7 +222,7 @@
 	defer s.RejectUnknownKeys()
 	e := s.Addresses("endpoints")
 	if len(e) == 0 {
-		s.AddMissing("endpoints", "a list of addresses, each "+inifile.AddressForm)
+		s.AddMissing("endpoints", "a list of addresses, each "+inifile.AddressFormat)
 	}
 	return Store{
 		Endpoints: e,
@@ -280,22 +280,22 @@
 func parseAdapter(s *inifile.Section) Adapter {
 	defer s.RejectUnknownKeys()
 	a := Adapter{Kind: AdapterKind(s.OneOf("kind", string(AdapterNone), string(AdapterNone), string(AdapterPlatform)))}
-	a.Grace = s.Duration("grace", DefaultGrace, time.Second, time.Hour)
+	a.ShutdownTimeout = s.Duration("grace", DefaultGrace, time.Second, time.Hour)
 	a.RateWindow = s.Duration("rate-window", DefaultRateWindow, time.Second, time.Hour)
-	a.PromotionLeast = s.Duration("promotion-least", DefaultPromotionLeast, 0, time.Minute)
-	a.PromotionDelay = s.Duration("promotion-delay", DefaultPromotionDelay, a.PromotionLeast, time.Minute)
+	a.MinPromotionTime = s.Duration("promotion-least", DefaultPromotionLeast, 0, time.Minute)
+	a.UsualPromotionTime = s.Duration("promotion-delay", DefaultPromotionDelay, a.MinPromotionTime, time.Minute)
 	a.Memory = s.Size("memory", DefaultMemory, minMemory, maxMemory)
 	a.Capacity = fleet.Capacity(s.Float("capacity", 0, 0, maxCapacity))
-	a.Evacuate = s.Duration("evacuate", DefaultEvacuate, time.Second, time.Hour)
-	a.Cold = cold.Limit{
+	a.EvacuationTimeout = s.Duration("evacuate", DefaultEvacuate, time.Second, time.Hour)
+	a.ColdLimit = cold.Limit{
 		Overshoot: s.Float("cold-overshoot", DefaultColdOvershoot, 0, maxColdOvershoot),
 		Slack:     s.Int("cold-slack", DefaultColdSlack, 0, maxColdSlack),
 	}
 	if a.Kind == AdapterPlatform || s.Has("balancer") {
-		a.Balancer = s.Address("balancer")
+		a.BalancerAddress = s.Address("balancer")
 	}
 	if a.Kind == AdapterPlatform || s.Has("promotions") {
-		a.Promotions = s.Address("promotions")
+		a.PromotionsAddress = s.Address("promotions")
 	}
 	return a
 }
--- a/internal/cmd/cmd_document.go
+++ b/internal/cmd/cmd_document.go
@@ -147,7 +147,7 @@
 				var m inifile.Mistakes
 				_, err = document.Parse(b, 0)
 				if errors.As(err, &m) {
-					all = append(all, m.In(a)...)
+					all = append(all, m.WithFile(a)...)
 				}
 			}
 			if len(all) > 0 {
@@ -186,7 +186,7 @@
 		if _, err := document.Parse(s.Text, s.Version); err != nil {
 			valid = "no"
 		}
-		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\n", s.Service, s.Version, at, dash(s.Stamp.By), dash(s.Stamp.Edit), valid)
+		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\n", s.Service, s.Version, at, dash(s.Stamp.By), dash(s.Stamp.EditID), valid)
 	}
 	return t.Flush()
 }
--- a/internal/cmd/cmd_document_store.go
+++ b/internal/cmd/cmd_document_store.go
@@ -44,7 +44,7 @@
 	}
 	for _, a := range ends {
 		if !inifile.IsAddress(a) {
-			return nil, nil, usageError{fmt.Errorf("store %q: expected %s", a, inifile.AddressForm)}
+			return nil, nil, usageError{fmt.Errorf("store %q: expected %s", a, inifile.AddressFormat)}
 		}
 	}
 	s := etcd.Dial(etcd.Config{Endpoints: ends, Timeout: f.timeout, Patient: true})
--- a/internal/cmd/cmd_key.go
+++ b/internal/cmd/cmd_key.go
@@ -52,7 +52,7 @@
 		Args:    usageArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			if !inifile.IsName(args[0]) {
-				return usageError{fmt.Errorf("name %q: expected %s", args[0], inifile.NameForm)}
+				return usageError{fmt.Errorf("name %q: expected %s", args[0], inifile.NameFormat)}
 			}
 			key, err := bufio.NewReader(io.LimitReader(c.InOrStdin(), inifile.MaxSize)).ReadString('\n')
 			if err != nil && !errors.Is(err, io.EOF) {
@@ -78,7 +78,7 @@
 		if err != nil {
 			return "", usageError{fmt.Errorf("--like: %w", err)}
 		}
-		return document.VerifierOf(key, o.Salt)
+		return document.NewVerifierWithSalt(key, o.Salt)
 	}
 	if account == "" {
 		return document.NewVerifier(key)
@@ -87,5 +87,5 @@
 	if !ok || !inifile.IsName(s) || !inifile.IsName(a) {
 		return "", usageError{fmt.Errorf("--account %q: expected SERVICE/ACCOUNT", account)}
 	}
-	return document.VerifierOf(key, document.AccountSalt(fleet.Service(s), fleet.Account(a)))
+	return document.NewVerifierWithSalt(key, document.AccountSalt(fleet.Service(s), fleet.Account(a)))
 }
--- a/internal/edit/edit.go
+++ b/internal/edit/edit.go
@@ -172,7 +172,7 @@
 		return Edited{}, &Lost{Current: now, Mine: text, Stated: stated}
 	}
 	s := document.Stamp{
-		Edit: e.newID(), Seq: now.Stamp.Seq + 1, After: now.Version, Base: max(now.Stamp.Base, uint64(above)),
+		EditID: e.newID(), Seq: now.Stamp.Seq + 1, After: now.Version, Base: max(now.Stamp.Base, uint64(above)),
 		By: e.By, At: e.now(),
 	}
 	w := writing{e: e, service: d.Service, text: text, stated: stated, stamp: s}
--- a/internal/edit/edit_test.go
+++ b/internal/edit/edit_test.go
@@ -91,7 +91,7 @@
 		m.entries[p.Key] = etcd.Entry{Key: p.Key, Value: p.Value, Revision: m.revision}
 	}
 	stamp, _ := document.SplitStamp(s.Value)
-	m.took = append(m.took, stamp.Edit)
+	m.took = append(m.took, stamp.EditID)
 	return m.revision, nil
 }
 
--- a/internal/edit/write.go
+++ b/internal/edit/write.go
@@ -44,14 +44,14 @@
 		var u *etcd.Unknown
 		switch {
 		case err == nil:
-			return Edited{Version: document.Version(w.stamp.Base + uint64(r)), Edit: w.stamp.Edit}, nil
+			return Edited{Version: document.Version(w.stamp.Base + uint64(r)), Edit: w.stamp.EditID}, nil
 		case errors.As(err, &c):
 			return w.lost(ctx, c.Current)
 		case !errors.As(err, &u):
 			return Edited{}, err
 		}
 		if !w.e.sleep(ctx, retryPause) {
-			return Edited{}, &Unknown{Edit: w.stamp.Edit, Err: err}
+			return Edited{}, &Unknown{Edit: w.stamp.EditID, Err: err}
 		}
 	}
 }
@@ -59,8 +59,8 @@
 // lost tells an edit that was refused from one that had taken effect before.
 func (w *writing) lost(ctx context.Context, current etcd.Entry) (Edited, error) {
 	now := stored(w.service, current)
-	if now.Stamp.Edit == w.stamp.Edit {
-		return Edited{Version: now.Version, Edit: w.stamp.Edit}, nil
+	if now.Stamp.EditID == w.stamp.EditID {
+		return Edited{Version: now.Version, Edit: w.stamp.EditID}, nil
 	}
 	for {
 		then, err := w.e.Store.Get(ctx, historyKey(w.e.Root, w.service, w.stamp.Seq))
@@ -68,7 +68,7 @@
 			return w.judge(now, stored(w.service, then))
 		}
 		if !w.e.sleep(ctx, retryPause) {
-			return Edited{}, &Unknown{Edit: w.stamp.Edit, Err: err}
+			return Edited{}, &Unknown{Edit: w.stamp.EditID, Err: err}
 		}
 	}
 }
@@ -78,12 +78,12 @@
 // the same version. Anything else has overwritten what would tell.
 func (w *writing) judge(now, then Stored) (Edited, error) {
 	switch {
-	case then.Stamp.Edit == w.stamp.Edit:
-		return Edited{Version: then.Version, Edit: w.stamp.Edit, ReplacedBy: now.Version}, nil
+	case then.Stamp.EditID == w.stamp.EditID:
+		return Edited{Version: then.Version, Edit: w.stamp.EditID, ReplacedBy: now.Version}, nil
 	case then.Version <= w.stated, then.Stamp.After == w.stated:
 		return Edited{}, &Lost{Current: now, Mine: w.text, Stated: w.stated}
 	}
-	return Edited{}, &Unknown{Edit: w.stamp.Edit, Err: errors.New("the history no longer reaches back to it")}
+	return Edited{}, &Unknown{Edit: w.stamp.EditID, Err: errors.New("the history no longer reaches back to it")}
 }
 
 func historyPrefix(root string, s fleet.Service) string {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -105,8 +105,8 @@
 		DataCentre:        s.Host.DataCentre,
 		Capacity:          s.Adapter.Capacity,
 		Regions:           s.Regions,
-		EvacuationTimeout: s.Adapter.Evacuate,
-		Cold:              s.Adapter.Cold,
+		EvacuationTimeout: s.Adapter.EvacuationTimeout,
+		Cold:              s.Adapter.ColdLimit,
 		Now:               clock.Now,
 		Dial:              h.dial,
 		ParseStatus:       platform.ParseStatus,
@@ -134,7 +134,7 @@
 func (h *Host) listen() error {
 	l, err := loop.Start(loop.Config{
 		Address: h.settings.Caller.Address, Accept: h.accept, Tick: h.tick, TickInterval: h.every,
-		Peers: h.settings.Peer.Address, AcceptPeer: h.acceptPeer,
+		PeerAddress: h.settings.Peer.Address, AcceptPeer: h.acceptPeer,
 		MaxUnread: maxUnread, Logger: h.log,
 	})
 	if err != nil {
@@ -142,13 +142,13 @@
 	}
 	h.loop = l
 	h.gossip, err = gossip.Start(gossip.Config{
-		Address: h.settings.Peer.Address, Heard: h.heard, Logger: h.log,
+		Address: h.settings.Peer.Address, Received: h.heard, Logger: h.log,
 	})
 	if err != nil {
 		return errors.Join(err, l.Stop())
 	}
 	h.balancer, err = operator.Start(operator.Config{
-		Address: h.settings.Adapter.Balancer, Ready: h.readiness, Logger: h.log,
+		Address: h.settings.Adapter.BalancerAddress, Ready: h.readiness, Logger: h.log,
 	})
 	if err == nil {
 		h.operator, err = operator.Start(operator.Config{
@@ -195,10 +195,10 @@
 			h.relay.PromotionFinished(o, given, refused)
 		},
 		StepDown:         func(o leader.PromotionRequest) { h.relay.RequestStepDown(o) },
-		Promote:          platform.NewPromotions(s.Adapter.Promotions).Promote,
+		Promote:          platform.NewPromotions(s.Adapter.PromotionsAddress).Promote,
 		CoordinatorDelay: youth,
-		PromotionLeast:   s.Adapter.PromotionLeast,
-		PromotionDelay:   s.Adapter.PromotionDelay,
+		MinPromotionTime:   s.Adapter.MinPromotionTime,
+		UsualPromotionTime:   s.Adapter.UsualPromotionTime,
 		Logger:           h.log,
 	}
 }
@@ -253,9 +253,9 @@
 // Shutdown ends the host without cutting a statement: sessions end as they come to
 // rest, within the grace.
 func (h *Host) Shutdown() error {
-	grace := h.settings.Adapter.Grace - lastMoment
+	grace := h.settings.Adapter.ShutdownTimeout - lastMoment
 	h.log.Info("host shuts down", zap.Duration("grace", grace))
-	h.loop.Post(func() { h.relay.Drain(h.settings.Adapter.Grace) })
+	h.loop.Post(func() { h.relay.Drain(h.settings.Adapter.ShutdownTimeout) })
 	ctx, drained := context.WithTimeout(context.Background(), grace)
 	defer drained()
 	sleep.Every(ctx, drainedEvery, func() {
--- a/internal/entry/events.go
+++ b/internal/entry/events.go
@@ -72,11 +72,11 @@
 	if n.Term != 0 {
 		f = append(f, zap.Uint64("term", uint64(n.Term)))
 	}
-	if !n.RequiredPoint.IsZero() {
-		f = append(f, zap.String("need", n.RequiredPoint.String()))
+	if !n.RequiredPosition.IsZero() {
+		f = append(f, zap.String("need", n.RequiredPosition.String()))
 	}
-	if !n.InstancePoint.IsZero() {
-		f = append(f, zap.String("has", n.InstancePoint.String()))
+	if !n.InstancePosition.IsZero() {
+		f = append(f, zap.String("has", n.InstancePosition.String()))
 	}
 	if !n.Received.IsZero() {
 		f = append(f, zap.String("received", n.Received.String()))
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -264,7 +264,7 @@
 		c.Write(forward.AppendHello(nil, h.settings.Host.Name))
 		h.followStore(clock.Now())
 	}
-	c.Data = h.reader("host "+string(l.host), in.Take, func(error) { c.Close() })
+	c.Data = h.reader("host "+string(l.host), in.Decode, func(error) { c.Close() })
 	c.Closed = func(error) {
 		if l.conn == c {
 			h.dropLink(l)
@@ -300,7 +300,7 @@
 			}
 		},
 	}
-	c.Data = h.reader("another host", in.Take, func(error) { c.Close() })
+	c.Data = h.reader("another host", in.Decode, func(error) { c.Close() })
 	c.Closed = func(error) {
 		delete(h.following.followers, id)
 		h.relay.InboundLinkClosed(id)
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -68,7 +68,7 @@
 	{counter("own_statements", "Statements of the proxy's own."),
 		func(c relay.Counters) uint64 { return c.OwnStatements }},
 	{counter("questions", "Questions to instances what they are."),
-		func(c relay.Counters) uint64 { return c.Asked }},
+		func(c relay.Counters) uint64 { return c.StatusRequests }},
 }
 
 func counter(name, help string) *prometheus.Desc {
--- a/io/caller/caller_test.go
+++ b/io/caller/caller_test.go
@@ -21,7 +21,7 @@
 
 // verifier makes PostgreSQL's form of a SCRAM-SHA-256 secret.
 func verifier(key, salt string) string {
-	v, err := document.VerifierOf(key, []byte(salt))
+	v, err := document.NewVerifierWithSalt(key, []byte(salt))
 	if err != nil {
 		panic(err)
 	}
--- a/io/forward/forward.go
+++ b/io/forward/forward.go
@@ -44,9 +44,9 @@
 	Ping func(answer bool)
 }
 
-// Take decodes the first frame in b and returns its length in bytes, zero if it isn't complete.
+// Decode decodes the first frame in b and returns its length in bytes, zero if it isn't complete.
 // After an error the link can't be used any more.
-func (r *Reader) Take(b []byte) (int, error) {
+func (r *Reader) Decode(b []byte) (int, error) {
 	if len(b) < lengthPrefixSize {
 		return 0, nil
 	}
@@ -103,7 +103,7 @@
 func AppendRequest(b []byte, f relay.Forward) []byte {
 	m := &forwardpb.Request{
 		Stream: f.Stream, Service: string(f.Service), Instance: string(f.Instance), Account: string(f.Account),
-		LeftMs: uint32(max(f.Left, 0).Milliseconds()), WaitMs: uint32(max(f.Wait, 0).Milliseconds()),
+		LeftMs: uint32(max(f.Timeout, 0).Milliseconds()), WaitMs: uint32(max(f.QueueWait, 0).Milliseconds()),
 		Close: f.Close, Open: f.Open,
 	}
 	for _, q := range f.Statements {
@@ -119,9 +119,9 @@
 func decodeRequest(m *forwardpb.Request) relay.Forward {
 	f := relay.Forward{
 		Stream: m.GetStream(), Service: fleet.Service(m.GetService()), Instance: fleet.Instance(m.GetInstance()),
-		Account: fleet.Account(m.GetAccount()), Left: time.Duration(m.GetLeftMs()) * time.Millisecond,
-		Wait: time.Duration(m.GetWaitMs()) * time.Millisecond,
-		Open: m.GetOpen(), Close: m.GetClose(),
+		Account: fleet.Account(m.GetAccount()), Timeout: time.Duration(m.GetLeftMs()) * time.Millisecond,
+		QueueWait: time.Duration(m.GetWaitMs()) * time.Millisecond,
+		Open:      m.GetOpen(), Close: m.GetClose(),
 	}
 	for _, q := range m.GetStatements() {
 		f.Statements = append(f.Statements, statement.Statement{
--- a/io/forward/forward_test.go
+++ b/io/forward/forward_test.go
@@ -37,7 +37,7 @@
 func request() relay.Forward {
 	return relay.Forward{
 		Stream: 7, Service: "orders", Instance: "i-1", Account: "hotel", Open: true, Close: true,
-		Left: 800 * time.Millisecond, Wait: 200 * time.Millisecond,
+		Timeout: 800 * time.Millisecond, QueueWait: 200 * time.Millisecond,
 		Statements: []statement.Statement{
 			{ID: "a", Kind: statement.KindSet, Name: "v0", Value: "x y"},
 			{Kind: statement.KindPrepare, Name: "p", Definition: statement.Definition{Writes: true, Text: "q2c"}},
@@ -67,7 +67,7 @@
 			n := rapid.IntRange(1, len(rest)).Draw(t, "part")
 			waiting, rest = append(waiting, rest[:n]...), rest[n:]
 			for {
-				used, err := in.Take(waiting)
+				used, err := in.Decode(waiting)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -90,9 +90,9 @@
 func TestLongFrameIsRefused(t *testing.T) {
 	c := qt.New(t)
 	in, _ := reader()
-	_, err := in.Take(binary.BigEndian.AppendUint32(nil, 1<<30))
+	_, err := in.Decode(binary.BigEndian.AppendUint32(nil, 1<<30))
 	c.Assert(err, qt.ErrorMatches, "a frame is longer than 8 MiB")
-	_, err = in.Take([]byte{0, 0, 0, 0})
+	_, err = in.Decode([]byte{0, 0, 0, 0})
 	c.Assert(err, qt.ErrorMatches, "a frame without a message")
 }
 
@@ -101,6 +101,6 @@
 	f.Add([]byte{0, 0, 0, 2, 1, 1})
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		in, _ := reader()
-		_, _ = in.Take(b)
+		_, _ = in.Decode(b)
 	})
 }
--- a/io/forward/news_test.go
+++ b/io/forward/news_test.go
@@ -36,10 +36,10 @@
 	b = forward.AppendStoreUpdate(b, forward.StoreUpdate{})
 	for len(b) > 0 {
 		// A frame that isn't complete isn't decoded.
-		n, err := r.Take(b[:len(b)-1])
+		n, err := r.Decode(b[:len(b)-1])
 		c.Assert(err, qt.IsNil)
 		if n == 0 {
-			n, err = r.Take(b)
+			n, err = r.Decode(b)
 			c.Assert(err, qt.IsNil)
 		}
 		b = b[n:]
@@ -56,7 +56,7 @@
 	r := forward.Reader{Ping: func(answer bool) { got = append(got, answer) }}
 	b := forward.AppendPing(forward.AppendPing(nil, false), true)
 	for len(b) > 0 {
-		n, err := r.Take(b)
+		n, err := r.Decode(b)
 		c.Assert(err, qt.IsNil)
 		b = b[n:]
 	}
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -57,10 +57,10 @@
 type Config struct {
 	// Address is where the host receives reports.
 	Address string
-	// Heard is called with the reports of each datagram: one report from its sender, or several
+	// Received is called with the reports of each datagram: one report from its sender, or several
 	// that a gossip relay has passed on. It is called on the receiving goroutine.
-	Heard  func(rs []Report, passed bool)
-	Logger *zap.Logger
+	Received func(rs []Report, passed bool)
+	Logger   *zap.Logger
 }
 
 // Gossip sends and receives reports on one UDP socket.
@@ -117,7 +117,7 @@
 			g.cfg.Logger.Warn("datagram dropped", zap.Error(err))
 			continue
 		}
-		g.cfg.Heard(rs, passed)
+		g.cfg.Received(rs, passed)
 	}
 }
 
--- a/io/gossip/gossip_test.go
+++ b/io/gossip/gossip_test.go
@@ -19,7 +19,7 @@
 	c.Assert(err, qt.IsNil)
 	at := l.LocalAddr().String()
 	c.Assert(l.Close(), qt.IsNil)
-	g, err := gossip.Start(gossip.Config{Address: at, Heard: heard, Logger: zap.NewNop()})
+	g, err := gossip.Start(gossip.Config{Address: at, Received: heard, Logger: zap.NewNop()})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { c.Check(g.Close(), qt.IsNil) })
 	return g, at
--- a/io/loop/conn.go
+++ b/io/loop/conn.go
@@ -88,7 +88,7 @@
 	}
 	c := &Conn{loop: l, gnetConn: g}
 	g.SetContext(c)
-	if g.LocalAddr().String() == l.cfg.Peers {
+	if g.LocalAddr().String() == l.cfg.PeerAddress {
 		l.cfg.AcceptPeer(c)
 	} else {
 		l.cfg.Accept(c)
--- a/io/loop/loop.go
+++ b/io/loop/loop.go
@@ -31,10 +31,10 @@
 	Address string
 	// Accept is called with each new connection of a caller, and sets its callbacks.
 	Accept func(c *Conn)
-	// Peers is where other hosts connect. AcceptPeer is called with each of their connections and
+	// PeerAddress is where other hosts connect. AcceptPeer is called with each of their connections and
 	// sets its callbacks.
-	Peers      string
-	AcceptPeer func(c *Conn)
+	PeerAddress string
+	AcceptPeer  func(c *Conn)
 	// Tick is called repeatedly, each time after the interval that TickInterval returns.
 	// TickInterval is called on another goroutine.
 	Tick         func()
@@ -92,8 +92,8 @@
 func (l *Loop) run() {
 	defer close(l.ended)
 	addresses := []string{"tcp://" + l.cfg.Address}
-	if l.cfg.Peers != "" {
-		addresses = append(addresses, "tcp://"+l.cfg.Peers)
+	if l.cfg.PeerAddress != "" {
+		addresses = append(addresses, "tcp://"+l.cfg.PeerAddress)
 	}
 	l.err = gnet.Rotate(l, addresses,
 		gnet.WithNumEventLoop(1),
--- a/io/registry/coordinator.go
+++ b/io/registry/coordinator.go
@@ -217,7 +217,7 @@
 	if err := r.revokeOtherHosts(ctx); err != nil {
 		return err
 	}
-	if d := leader.LeaseValidity - r.cfg.PromotionLeast; d > 0 && !sleep.For(ctx, d) {
+	if d := leader.LeaseValidity - r.cfg.MinPromotionTime; d > 0 && !sleep.For(ctx, d) {
 		return ctx.Err()
 	}
 	return r.promote(ctx, o, rec, fence)
@@ -362,7 +362,7 @@
 		return
 	}
 	r.tasks.Go(func() {
-		if sleep.For(ctx, r.cfg.PromotionDelay-stepDownLead) {
+		if sleep.For(ctx, r.cfg.UsualPromotionTime-stepDownLead) {
 			r.cfg.Post(func() { r.cfg.StepDown(o) })
 		}
 	})
--- a/io/registry/registry.go
+++ b/io/registry/registry.go
@@ -83,9 +83,9 @@
 	// CoordinatorDelay is how long after its start the host doesn't become the failover
 	// coordinator.
 	CoordinatorDelay time.Duration
-	// PromotionLeast is the least time that the platform takes to carry out a promotion,
-	// PromotionDelay the usual time.
-	PromotionLeast, PromotionDelay time.Duration
+	// MinPromotionTime is the least time that the platform takes to carry out a promotion,
+	// UsualPromotionTime the usual time.
+	MinPromotionTime, UsualPromotionTime time.Duration
 
 	Logger *zap.Logger
 }
--- a/io/registry/registry_test.go
+++ b/io/registry/registry_test.go
@@ -127,7 +127,7 @@
 			}
 			return nil
 		},
-		CoordinatorDelay: coordinatorDelay, PromotionLeast: least, PromotionDelay: time.Second,
+		CoordinatorDelay: coordinatorDelay, MinPromotionTime: least, UsualPromotionTime: time.Second,
 	}
 }
 
--- a/test/keys_test.go
+++ b/test/keys_test.go
@@ -27,7 +27,7 @@
 		qt.Assert(t, err, qt.IsNil)
 		a.Keys = nil
 		for k, key := range keys {
-			v, err := document.VerifierOf(key, old.Salt)
+			v, err := document.NewVerifierWithSalt(key, old.Salt)
 			qt.Assert(t, err, qt.IsNil)
 			a.Keys = append(a.Keys, document.Key{Name: fmt.Sprintf("k%d", k), Verifier: v})
 		}
