--- a/core/relay/forward_test.go
+++ b/core/relay/forward_test.go
@@ -130,8 +130,8 @@
 	w := newWorld(c).settled()
 	var got []statement.Answer
 	f := relay.Forward{
-		Stream: 1, Service: service, Instance: "b", Account: "hotel", Open: true,
-		Timeout: time.Second, QueueWait: time.Second,
+		Stream: 1, Service: service, Instance: "b", Account: "hotel",
+		Timeout: time.Second, QueueWait: time.Second, Open: true,
 		Statements: []statement.Statement{
 			{ID: "b", Kind: statement.KindBeginRead, After: fleet.Some(fleet.LogPosition{Term: 1, Index: 9})},
 			{ID: "r", Kind: statement.KindRead, Text: "item"},
