--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -194,12 +194,12 @@
 		PromotionFinished: func(o leader.PromotionRequest, given, refused bool) {
 			h.relay.PromotionFinished(o, given, refused)
 		},
-		StepDown:         func(o leader.PromotionRequest) { h.relay.RequestStepDown(o) },
-		Promote:          platform.NewPromotions(s.Adapter.PromotionsAddress).Promote,
-		CoordinatorDelay: youth,
+		StepDown:           func(o leader.PromotionRequest) { h.relay.RequestStepDown(o) },
+		Promote:            platform.NewPromotions(s.Adapter.PromotionsAddress).Promote,
+		CoordinatorDelay:   youth,
 		MinPromotionTime:   s.Adapter.MinPromotionTime,
-		UsualPromotionTime:   s.Adapter.UsualPromotionTime,
-		Logger:           h.log,
+		UsualPromotionTime: s.Adapter.UsualPromotionTime,
+		Logger:             h.log,
 	}
 }
 
