--- a/core/group/proof.go
+++ b/core/group/proof.go
@@ -8,37 +8,37 @@
 	"skylarkdeal/core/fleet"
 )
 
-// Verdict is what the statuses say of a write that the primary has committed.
+// Verdict says whether a write that the primary has committed may be acknowledged.
 type Verdict string
 
 // The verdicts. VerdictReplaced is final: the write can't be acknowledged any
-// more, and may or may not be part of the group's history.
+// more, and it is unknown whether a later primary has it.
 const (
 	VerdictWait        Verdict = "wait"
 	VerdictAcknowledge Verdict = "acknowledge"
 	VerdictReplaced    Verdict = "replaced"
 )
 
-// Acknowledge is the rule by which a write that was committed at w may be
-// acknowledged. since is a moment after the commit's answer came in.
+// Acknowledge decides whether a write that was committed at the position write may
+// be acknowledged. since is a time after the answer to the commit arrived.
 //
-// It guards against acknowledging for a primary that has been replaced, which
-// shows as an order that the caller holds confirmed and no one finds. A
-// promotion fences a majority first, so a majority that is still at the write's
-// term after the commit shares an instance with any later promotion, and that
-// instance brings the write along. See docs/design/failover.md.
-func (t Snapshot) Acknowledge(rule document.Acknowledge, w fleet.LogPosition, since time.Time) Verdict {
-	need := t.Rules.majority(len(t.Observations))
-	var holds, replaced int
-	for _, s := range t.Observations {
-		if s.Known() && s.Status.Promised > w.Term {
+// Guards against acknowledging a write of a primary that has been replaced: the
+// caller would hold as confirmed a write that the new primary lacks. A promotion
+// first fences a majority. A majority that is still at the write's term after the
+// commit therefore shares an instance with any later promotion, and the log of
+// that instance has the write. See docs/design/failover.md.
+func (s Snapshot) Acknowledge(rule document.Acknowledge, write fleet.LogPosition, since time.Time) Verdict {
+	need := s.Rules.majority(len(s.Observations))
+	var confirmed, replaced int
+	for _, o := range s.Observations {
+		if o.Known() && o.Status.Promised > write.Term {
 			replaced++
 		}
-		if t.Rules.unfenced(s, w.Term, since) && (rule == document.AcknowledgePrimary || t.Rules.holds(s, w)) {
-			holds++
+		if s.Rules.unfenced(o, write.Term, since) && (rule == document.AcknowledgePrimary || s.Rules.hasEntry(o, write)) {
+			confirmed++
 		}
 	}
-	if holds >= need {
+	if confirmed >= need {
 		return VerdictAcknowledge
 	}
 	if replaced >= need {
@@ -47,45 +47,47 @@
 	return VerdictWait
 }
 
-// Proof says that a log which covers Position has every write that was
-// acknowledged before AsOf.
+// Proof states that a log that covers Position has every write acknowledged before
+// AsOf.
 type Proof struct {
 	Position fleet.LogPosition `json:"point"`
 	AsOf     time.Time         `json:"as-of"`
 }
 
-// Prove returns what the statuses prove: the last entry of the primary, as of
-// the earliest of the questions that show it to be the primary and a majority
-// to be at its term. It reports false when no primary has such a majority.
+// Prove returns the proof that the latest statuses give: the position of the
+// primary's last entry, as of the earliest of the status requests whose answers
+// show the primary and a majority at its term. It returns false if no primary has
+// such a majority.
 //
-// It counts from when the questions were sent. Counting from the answers would
-// call data fresh that is as old as the answer took to arrive.
-func (t Snapshot) Prove() (Proof, bool) {
-	p, ok := t.Find(t.Primary)
+// Proofs are dated by the time at which a request was sent. Dated by the arrival of
+// the answer, data would seem younger than it is by the time the answer took.
+func (s Snapshot) Prove() (Proof, bool) {
+	primary, ok := s.Find(s.Primary)
 	if !ok {
 		return Proof{}, false
 	}
-	asOf, ok := t.FencedSince(t.Term)
+	asOf, ok := s.FencedSince(s.Term)
 	if !ok {
 		return Proof{}, false
 	}
-	if p.Sent.Before(asOf) {
-		asOf = p.Sent
+	if primary.Sent.Before(asOf) {
+		asOf = primary.Sent
 	}
-	return Proof{Position: p.Status.Last, AsOf: asOf}, true
+	return Proof{Position: primary.Status.Last, AsOf: asOf}, true
 }
 
-// FencedSince returns the latest moment up to which the statuses show that no
-// primary of a term after n was promoted, and false when they show none: the
-// earliest question of the latest majority that was at n.
-func (t Snapshot) FencedSince(n fleet.Term) (time.Time, bool) {
+// FencedSince returns the latest time up to which the statuses show that no primary
+// of a term after the given one was promoted, and false if they show none. It is the
+// time of the earliest status request among the majority that was at the given term
+// most recently.
+func (s Snapshot) FencedSince(term fleet.Term) (time.Time, bool) {
 	var sent []time.Time
-	for _, s := range t.Observations {
-		if t.Rules.unfenced(s, n, time.Time{}) {
-			sent = append(sent, s.Sent)
+	for _, o := range s.Observations {
+		if s.Rules.unfenced(o, term, time.Time{}) {
+			sent = append(sent, o.Sent)
 		}
 	}
-	need := t.Rules.majority(len(t.Observations))
+	need := s.Rules.majority(len(s.Observations))
 	if len(sent) < need {
 		return time.Time{}, false
 	}
@@ -93,23 +95,23 @@
 	return sent[need-1], true
 }
 
-// leader returns the index of the instance that serves as the primary in the
-// highest term, unless a majority is known to have gone on to a later term.
-func leader(seen []Observation) (int, bool) {
+// primaryIndex returns the index of the unfenced primary of the highest term, and
+// false if there is none or a majority has promised a later term.
+func primaryIndex(observations []Observation) (int, bool) {
 	best := -1
-	for i, s := range seen {
-		if s.Serves() && (best < 0 || seen[best].Status.Last.Term < s.Status.Last.Term) {
+	for i, o := range observations {
+		if o.IsUnfencedPrimary() && (best < 0 || observations[best].Status.Last.Term < o.Status.Last.Term) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return 0, false
 	}
-	var beyond int
-	for _, s := range seen {
-		if s.Known() && s.Status.Promised > seen[best].Status.Last.Term {
-			beyond++
+	var later int
+	for _, o := range observations {
+		if o.Known() && o.Status.Promised > observations[best].Status.Last.Term {
+			later++
 		}
 	}
-	return best, beyond < Majority(len(seen))
+	return best, later < Majority(len(observations))
 }
--- a/core/place/sim_test.go
+++ b/core/place/sim_test.go
@@ -13,79 +13,80 @@
 	"skylarkdeal/core/session"
 )
 
-// load is a mix of requests for one holder of a group.
-type load struct {
+// workload is a mix of requests for one holder of a group.
+type workload struct {
 	// rate is in requests a second.
 	rate float64
-	// write, token, aged and blind are the parts of writes and of reads that
-	// show a token just got by a write, that accept an age, that show nothing.
+	// write is the weight of writes in the mix. The others are those of reads: token
+	// with the token of the latest write, aged with an accepted age, blind with
+	// neither.
 	write, token, aged, blind float64
-	// long is the part of the reads that take longWork.
+	// long is the fraction of the reads that take longWorkTime.
 	long float64
-	// age is what aged reads accept.
+	// age is the accepted age of aged reads.
 	age time.Duration
 }
 
-const longWork = 200 * time.Millisecond
+const longWorkTime = 200 * time.Millisecond
 
-// sim runs a load against three instances in virtual time: each request waits
-// in one queue until Choose finds it an instance.
+// sim runs a workload against three instances in virtual time. All requests wait
+// in one queue until Choose returns ActionRun.
 type sim struct {
-	load  load
-	lag   time.Duration
-	work  map[fleet.Instance]time.Duration
-	slots int
-	leave map[fleet.Instance]bool
-
-	rand    *rand.Rand
-	now     time.Time
-	group   group.Group
-	log     []time.Time
-	busy    map[fleet.Instance]int
-	meters  map[fleet.Instance]place.LatencyAverage
-	queue   []*request
-	running []*request
-	ended   []*request
+	workload      workload
+	lag           time.Duration
+	statementTime map[fleet.Instance]time.Duration
+	slots         int
+	leaving       map[fleet.Instance]bool
+
+	rand      *rand.Rand
+	now       time.Time
+	group     group.Group
+	log       []time.Time
+	busy      map[fleet.Instance]int
+	latencies map[fleet.Instance]place.LatencyAverage
+	queue     []*request
+	running   []*request
+	ended     []*request
 }
 
 type request struct {
-	facts   place.RequestInfo
-	arrived time.Time
-	started time.Time
-	ends    time.Time
-	choice  place.Choice
-	reads   fleet.LogPosition
-	class   string
+	info     place.RequestInfo
+	arrived  time.Time
+	started  time.Time
+	ends     time.Time
+	choice   place.Choice
+	position fleet.LogPosition
+	class    string
 }
 
-func newSim(l load) *sim {
+func newSim(l workload) *sim {
 	s := &sim{
-		load: l, lag: time.Millisecond, slots: 2,
-		work:   make(map[fleet.Instance]time.Duration),
-		leave:  make(map[fleet.Instance]bool),
-		rand:   rand.New(rand.NewPCG(1, 2)),
-		now:    time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC),
-		busy:   make(map[fleet.Instance]int),
-		meters: make(map[fleet.Instance]place.LatencyAverage),
+		workload: l, lag: time.Millisecond, slots: 2,
+		statementTime: make(map[fleet.Instance]time.Duration),
+		leaving:       make(map[fleet.Instance]bool),
+		rand:          rand.New(rand.NewPCG(1, 2)),
+		now:           time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC),
+		busy:          make(map[fleet.Instance]int),
+		latencies:     make(map[fleet.Instance]place.LatencyAverage),
 	}
-	for _, n := range names {
-		s.work[n] = 2 * time.Millisecond
+	for _, n := range instanceNames {
+		s.statementTime[n] = 2 * time.Millisecond
 	}
 	s.log = append(s.log, s.now.Add(-time.Minute))
 	return s
 }
 
-var names = []fleet.Instance{"a", "b", "c"}
+var instanceNames = []fleet.Instance{"a", "b", "c"}
 
 func (s *sim) configure() {
 	var d []document.Instance
-	for _, n := range names {
-		d = append(d, document.Instance{Name: n, Slots: s.slots, Leaving: s.leave[n]})
+	for _, n := range instanceNames {
+		d = append(d, document.Instance{Name: n, Slots: s.slots, Leaving: s.leaving[n]})
 	}
 	s.group.Configure(s.now, d)
 }
 
-// last is the end of an instance's log; a is the primary.
+// last returns the last log position of an instance. Instance a is the primary.
 func (s *sim) last(n fleet.Instance) fleet.LogPosition {
 	p := len(s.log)
 	if n != "a" {
@@ -101,11 +102,11 @@
 	next := s.now
 	for n, end := 0, s.now.Add(d); s.now.Before(end); n++ {
 		if n%4 == 0 {
-			s.ask()
+			s.updateStatuses()
 		}
 		for !next.After(s.now) {
 			s.arrive()
-			next = next.Add(time.Duration(s.rand.ExpFloat64() / s.load.rate * float64(time.Second)))
+			next = next.Add(time.Duration(s.rand.ExpFloat64() / s.workload.rate * float64(time.Second)))
 		}
 		s.finish()
 		s.start()
@@ -113,8 +114,8 @@
 	}
 }
 
-func (s *sim) ask() {
-	for _, n := range names {
+func (s *sim) updateStatuses() {
+	for _, n := range instanceNames {
 		st := fleet.Status{Instance: n, Promised: 1, Role: fleet.RoleReplica, Last: s.last(n), Follows: "a"}
 		if n == "a" {
 			st.Role, st.Follows = fleet.RolePrimary, ""
@@ -127,21 +128,21 @@
 func (s *sim) arrive() {
 	r := &request{arrived: s.now, class: "write"}
 	q := &exchange.Request{Intent: exchange.IntentRead}
-	switch p := s.rand.Float64() * (s.load.write + s.load.token + s.load.aged + s.load.blind); {
-	case p < s.load.write:
+	switch p := s.rand.Float64() * (s.workload.write + s.workload.token + s.workload.aged + s.workload.blind); {
+	case p < s.workload.write:
 		q.Intent = exchange.IntentWrite
-	case p < s.load.write+s.load.token:
+	case p < s.workload.write+s.workload.token:
 		r.class = "token"
 		q.After = fleet.Some(s.last("a"))
-	case p < s.load.write+s.load.token+s.load.aged:
+	case p < s.workload.write+s.workload.token+s.workload.aged:
 		r.class = "aged"
-		q.MaxAge = s.load.age
+		q.MaxAge = s.workload.age
 	default:
 		r.class = "blind"
 	}
-	r.facts = place.RequestInfo{Intent: q.Intent, Need: session.Needs(q, s.now)}
-	if q.Intent == exchange.IntentRead && s.rand.Float64() < s.load.long {
-		r.facts.Long, r.class = true, "long"
+	r.info = place.RequestInfo{Intent: q.Intent, Need: session.NeedOf(q, s.now)}
+	if q.Intent == exchange.IntentRead && s.rand.Float64() < s.workload.long {
+		r.info.Long, r.class = true, "long"
 	}
 	s.queue = append(s.queue, r)
 }
@@ -155,8 +156,8 @@
 		}
 		n := r.choice.Instance
 		s.busy[n]--
-		s.meters[n] = s.meters[n].Observe(s.now, s.now.Sub(r.started))
-		if r.facts.Intent == exchange.IntentWrite {
+		s.latencies[n] = s.latencies[n].Observe(s.now, s.now.Sub(r.started))
+		if r.info.Intent == exchange.IntentWrite {
 			s.log = append(s.log, s.now)
 		}
 		s.ended = append(s.ended, r)
@@ -166,8 +167,8 @@
 
 func (s *sim) loads() place.Loads {
 	l := place.Loads{Instances: make(map[fleet.Instance]place.Load), Waiting: len(s.queue)}
-	for _, n := range names {
-		l.Instances[n] = place.Load{Busy: s.busy[n], Slots: s.slots, Latency: s.meters[n]}
+	for _, n := range instanceNames {
+		l.Instances[n] = place.Load{Busy: s.busy[n], Slots: s.slots, Latency: s.latencies[n]}
 	}
 	return l
 }
@@ -177,25 +178,25 @@
 	proof, _ := t.Prove()
 	var left []*request
 	for _, r := range s.queue {
-		r.facts.Need = r.facts.Need.Resolve(proof)
-		r.choice = place.Choose(s.now, r.facts, t, s.loads())
+		r.info.Need = r.info.Need.Resolve(proof)
+		r.choice = place.Choose(s.now, r.info, t, s.loads())
 		if r.choice.Action != place.ActionRun {
 			left = append(left, r)
 			continue
 		}
 		n := r.choice.Instance
-		work := s.work[n]
-		if r.facts.Long {
-			work = longWork
+		work := s.statementTime[n]
+		if r.info.Long {
+			work = longWorkTime
 		}
-		r.started, r.ends, r.reads = s.now, s.now.Add(work), s.last(n)
+		r.started, r.ends, r.position = s.now, s.now.Add(work), s.last(n)
 		s.busy[n]++
 		s.running = append(s.running, r)
 	}
 	s.queue = left
 }
 
-// outcome is what callers of a class got.
+// outcome summarises the answers to one class of requests.
 type outcome struct {
 	ended    int
 	replicas float64
--- a/core/relay/conn.go
+++ b/core/relay/conn.go
@@ -11,7 +11,7 @@
 	"skylarkdeal/core/statement"
 )
 
-// connState is how far a connection has come.
+// connState is the state of a connection to an instance.
 type connState string
 
 const (
@@ -21,8 +21,8 @@
 	connClosed   connState = "closed"
 )
 
-// Conn is one connection to an instance, for one account. Send and Close are set by
-// whoever makes it.
+// Conn is one connection to an instance, for one account. Send and Close are set by Config.Dial, or by
+// connVia for a connection over another host.
 type Conn struct {
 	Service  fleet.Service
 	Instance fleet.Instance
@@ -34,40 +34,41 @@
 	g     *group
 	inst  *instance
 	state connState
-	// values and prepared are what the instance holds for the connection.
+	// values and prepared are the session state that the instance has for the connection.
 	values   map[string]string
 	prepared map[string]bool
-	// spoilt is set once the instance has turned away what was to give the connection its values:
-	// it holds others than are noted here, such as another session's, and is to be used by no one.
-	spoilt bool
-	// owed are the answers that haven't come, in order.
-	owed []owed
-	// op is the operation that the connection serves, session the one whose
-	// transaction it runs.
+	// dirty is set once the instance has rejected statements that were to set up the connection: its
+	// state may differ from the one recorded here, and be that of another session, so that the
+	// connection isn't used again.
+	dirty bool
+	// pending lists the answers that haven't arrived, in order.
+	pending []pendingReply
+	// op is the operation that runs on the connection, session the one whose transaction it runs.
 	op      *operation
 	session *Session
-	// since is when the state began.
-	since time.Time
-	// offered is set while the group chooses which operation is to have it.
-	offered bool
-	// via is the other host that a connection runs over, empty for one of this host's own.
-	// stream names it there, and once tells that it ends with the next answer.
-	via          fleet.Host
-	stream       uint64
-	opened, once bool
+	// stateSince is when the current state began.
+	stateSince time.Time
+	// reserved is set while dispatch considers the connection for an operation.
+	reserved bool
+	// via is the other host that the connection runs over, empty for a connection of this host's own.
+	// streamID names the stream there. streamOpened is set once the stream was opened, closesAfterReply
+	// if it ends with the next answer.
+	via                            fleet.Host
+	streamID                       uint64
+	streamOpened, closesAfterReply bool
 }
 
-// owed is one answer that a connection owes.
-type owed struct {
-	kind  statement.Kind
-	own   bool
-	asked time.Time
-	// done takes the answer; it may be nil.
+// pendingReply is a statement whose answer hasn't arrived.
+type pendingReply struct {
+	kind     statement.Kind
+	proxyOwn bool
+	sentAt   time.Time
+	// done receives the answer; it may be nil.
 	done func(a statement.Answer)
 }
 
-// sharedName is the name under which all sessions share a prepared statement on the
-// connections to instances: those with equal shapes are the same.
+// sharedName returns the name under which all sessions share a prepared statement on the connections to
+// instances. Equal definitions have the same name.
 func sharedName(s statement.Definition) string {
 	kind := "r"
 	if s.Writes {
@@ -79,34 +80,34 @@
 // maxPrepared bounds the prepared statements of one connection.
 const maxPrepared = 512
 
-// setup returns the statements that give the connection the session's values and the
-// prepared statement p.
-func (c *Conn) setup(s *Session, p *prepared) []statement.Statement {
+// setupStatements returns the statements that give the connection the session's values and prepare p.
+// They begin with a discard if the connection has other values or too many prepared statements.
+func (c *Conn) setupStatements(s *Session, p *prepared) []statement.Statement {
 	var out []statement.Statement
-	drop := len(c.prepared) >= maxPrepared
+	discard := len(c.prepared) >= maxPrepared
 	for n := range c.values {
-		drop = drop || !slices.ContainsFunc(s.values, func(v value) bool { return v.name == n })
+		discard = discard || !slices.ContainsFunc(s.values, func(v value) bool { return v.name == n })
 	}
-	if drop {
+	if discard {
 		out = append(out, statement.Statement{Kind: statement.KindDiscard})
 	}
 	for _, v := range s.values {
-		if old, ok := c.values[v.name]; ok && old == v.value && !drop {
+		if old, ok := c.values[v.name]; ok && old == v.value && !discard {
 			continue
 		}
 		out = append(out, statement.Statement{ID: v.id, Kind: statement.KindSet, Name: v.name, Value: v.value})
 	}
-	if p != nil && (drop || !c.prepared[p.name]) {
+	if p != nil && (discard || !c.prepared[p.name]) {
 		out = append(out, statement.Statement{
-			ID: p.id, Kind: statement.KindPrepare, Name: p.name, Definition: p.shape,
+			ID: p.id, Kind: statement.KindPrepare, Name: p.name, Definition: p.definition,
 		})
 	}
 	return out
 }
 
-// applied notes what setup has done, and that the caller's own statements of it have
-// been forwarded: from now on they are repeated as the proxy's.
-func (c *Conn) applied(s *Session, p *prepared, qs []statement.Statement) {
+// recordSetup records the effects of the setup statements qs, and that the caller's own statements
+// among them were sent: from then on they are repeated as the proxy's own.
+func (c *Conn) recordSetup(s *Session, p *prepared, qs []statement.Statement) {
 	for _, q := range qs {
 		switch q.Kind {
 		case statement.KindDiscard:
@@ -120,124 +121,127 @@
 		}
 	}
 	for n := range s.values {
-		s.values[n].id = forwarded(s.values[n].id, qs)
+		s.values[n].id = unsentID(s.values[n].id, qs)
 	}
 	if p != nil {
-		p.id = forwarded(p.id, qs)
+		p.id = unsentID(p.id, qs)
 	}
 }
 
-func forwarded(id statement.ID, qs []statement.Statement) statement.ID {
+// unsentID returns id, or the ID of the proxy's own statements once it was sent with qs.
+func unsentID(id statement.ID, qs []statement.Statement) statement.ID {
 	if slices.ContainsFunc(qs, func(q statement.Statement) bool { return q.ID == id }) {
 		return ""
 	}
 	return id
 }
 
-// send hands statements to the instance. done takes the answer to the last one, each
-// the answers to those before.
+// send sends statements to the instance. done receives the answer to the last one, each the answers to
+// those before.
 func (c *Conn) send(qs []statement.Statement, each, done func(a statement.Answer)) {
 	now := c.g.r.now()
 	if c.via != "" {
-		// The other host answers the last one only.
-		c.owed = append(c.owed, owed{kind: qs[len(qs)-1].Kind, asked: now, done: done})
+		// The other host answers only the last statement.
+		c.pending = append(c.pending, pendingReply{kind: qs[len(qs)-1].Kind, sentAt: now, done: done})
 		c.Send(qs)
 		return
 	}
 	for n, q := range qs {
-		o := owed{kind: q.Kind, own: q.ID == "", asked: now, done: each}
+		o := pendingReply{kind: q.Kind, proxyOwn: q.ID == "", sentAt: now, done: each}
 		if n == len(qs)-1 {
 			o.done = done
 		}
-		if o.own {
-			c.g.r.counts.OwnStatements++
+		if o.proxyOwn {
+			c.g.r.counters.OwnStatements++
 		}
-		c.owed = append(c.owed, o)
+		c.pending = append(c.pending, o)
 	}
 	c.Send(qs)
 }
 
-// ConnOpened takes in that the connection stands.
+// ConnOpened handles a connection that was made. a carries the instance's log position, if it has sent
+// one.
 func (r *Relay) ConnOpened(c *Conn, a statement.Answer) {
 	if c.state != connDialling {
 		return
 	}
-	dialled := c.since
+	dialled := c.stateSince
 	c.setState(connIdle)
 	c.inst.heard(r.now())
-	if c.inst.lost {
-		c.inst.lost, c.inst.back = false, r.now()
+	if c.inst.disconnected {
+		c.inst.disconnected, c.inst.reconnectedAt = false, r.now()
 	}
-	c.inst.crowded = 0
-	c.g.evidence(c, dialled, a)
-	c.g.pump()
+	c.inst.connLimitRefusals = 0
+	c.g.addPosition(c, dialled, a)
+	c.g.dispatch()
 }
 
-// HandleAnswer takes in the next answer on a connection.
+// HandleAnswer handles the next answer on a connection.
 func (r *Relay) HandleAnswer(c *Conn, a statement.Answer) {
 	if c.state == connClosed {
 		return
 	}
-	if len(c.owed) == 0 {
-		c.lost("an answer that nobody asked for")
+	if len(c.pending) == 0 {
+		c.handleClose("an answer that nobody asked for")
 		return
 	}
-	o := c.owed[0]
-	c.owed = c.owed[1:]
+	o := c.pending[0]
+	c.pending = c.pending[1:]
 	if c.via == "" {
 		c.inst.heard(r.now())
 	}
-	c.g.evidence(c, o.asked, a)
+	c.g.addPosition(c, o.sentAt, a)
 	if o.done != nil {
 		o.done(a)
 	}
-	c.g.pump()
+	c.g.dispatch()
 }
 
-// ConnectRefused takes in that the instance has refused the connection.
+// ConnectRefused handles the instance's refusal of a connection.
 func (r *Relay) ConnectRefused(c *Conn, code statement.Code, detail string) {
 	if c.state == connClosed {
 		return
 	}
-	c.inst.turned(r.now(), c.since, code)
-	r.note(Event{
+	c.inst.connectRefused(r.now(), c.stateSince, code)
+	r.logEvent(Event{
 		Kind: EventInstance, Service: c.Service, Instance: c.Instance, Account: c.Account,
 		Choice: "connection refused", Reason: detail, Code: code,
 	})
-	c.lost("refused")
+	c.handleClose("refused")
 }
 
-// ConnClosed takes in that the connection has ended or couldn't be made.
+// ConnClosed handles a connection that has ended or couldn't be made. err is nil if the instance closed
+// it.
 func (r *Relay) ConnClosed(c *Conn, err error) {
 	if c.state == connClosed {
 		return
 	}
-	why := "closed by the instance"
+	reason := "closed by the instance"
 	if err != nil {
-		why = err.Error()
+		reason = err.Error()
 	}
-	if c.state == connDialling || len(c.owed) > 0 && !c.inst.heardLately(r.now()) {
-		c.inst.failed(r.now(), why)
+	if c.state == connDialling || len(c.pending) > 0 && !c.inst.heardRecently(r.now()) {
+		c.inst.addFailure(r.now(), reason)
 	}
-	c.lost(why)
-	c.inst.lost = c.inst.lost || len(c.inst.conns) == 0
+	c.handleClose(reason)
+	c.inst.disconnected = c.inst.disconnected || len(c.inst.conns) == 0
 }
 
-// lost closes the connection and settles what ran on it.
-func (c *Conn) lost(why string) {
+// handleClose closes the connection and settles the operation and the transaction that ran on it.
+func (c *Conn) handleClose(reason string) {
 	if c.state == connClosed {
 		return
 	}
 	c.setState(connClosed)
 	c.inst.remove(c)
 	if c.via != "" {
-		delete(c.g.r.forwarding.virtual, c.stream)
-		c.inst.lent--
+		delete(c.g.r.forwarding.forwardedConns, c.streamID)
+		c.inst.forwardedCount--
 	}
 	if c.Close != nil {
 		c.Close()
 	}
-	c.owed = nil
+	c.pending = nil
 	op, s := c.op, c.session
 	c.op, c.session = nil, nil
 	if s != nil && s.tx.conn == c {
@@ -245,41 +249,42 @@
 		s.tx.failed = true
 	}
 	if op != nil {
-		op.cut(why)
+		op.connLost(reason)
 	}
-	c.g.pump()
+	c.g.dispatch()
 }
 
-// retire closes a connection that nothing runs on.
+// retire closes a connection on which nothing runs.
 func (c *Conn) retire() {
 	c.op, c.session = nil, nil
-	c.lost("retired")
+	c.handleClose("retired")
 }
 
-// free gives the connection back once no transaction is open on it.
+// free makes the connection idle again once no transaction is open on it. It closes one that can't be
+// reused.
 func (c *Conn) free() {
 	c.op, c.session = nil, nil
 	if c.state == connClosed {
 		return
 	}
-	if c.inst.gone || c.via != "" || c.spoilt {
+	if c.inst.removed || c.via != "" || c.dirty {
 		c.retire()
 		return
 	}
 	c.setState(connIdle)
 }
 
-// rollback ends the transaction that is open on the connection, and frees it.
+// rollback ends the transaction that is open on the connection, and frees the connection.
 func (c *Conn) rollback() {
 	c.session = nil
 	if c.state == connClosed {
 		return
 	}
-	if c.via != "" || len(c.owed) > 0 || c.inst.closed(c.g.r.now()) {
-		// The other host rolls back when the stream ends, and the instance, which may still
-		// work on a statement or is to be sent nothing, when the connection does.
+	if c.via != "" || len(c.pending) > 0 || c.inst.evacuationExpired(c.g.r.now()) {
+		// The other host rolls back when the stream ends. The instance does when the connection ends:
+		// it may still be running a statement, or may not be sent anything any more.
 		c.op = nil
-		c.lost("given up in a transaction")
+		c.handleClose("given up in a transaction")
 		return
 	}
 	c.send([]statement.Statement{{Kind: statement.KindRollback}}, nil, func(a statement.Answer) {
@@ -291,21 +296,21 @@
 	})
 }
 
-// ask has the instance say what it is. It takes no slot: an order to step down below
-// term 1 changes nothing and is answered with the status.
-func (c *Conn) ask() { c.stepDown(0, nil) }
+// requestStatus asks the instance for its status. It takes no slot: a request to step down below term 1
+// changes nothing and is answered with the status.
+func (c *Conn) requestStatus() { c.stepDown(0, nil) }
 
-// stepDown has a primary of a term below t step down, and tells what the instance says of
-// itself then; reply, which may be nil, takes its answer.
+// stepDown makes a primary of a term below t step down, and handles the status that the instance
+// answers with. reply, which may be nil, receives the answer.
 func (c *Conn) stepDown(t fleet.Term, reply func(a statement.Answer)) {
-	c.g.r.counts.Asked++
+	c.g.r.counters.StatusRequests++
 	c.setState(connBusy)
-	asked := c.since
+	asked := c.stateSince
 	q := statement.Statement{Kind: statement.KindStepDown, Term: t}
 	c.send([]statement.Statement{q}, nil, func(a statement.Answer) {
-		c.g.told(c, asked, a)
+		c.g.handleStatus(c, asked, a)
 		if a.Code == statement.CodeUnreachable && c.via != "" {
-			c.inst.block(c.via)
+			c.inst.blockHost(c.via)
 		}
 		if c.state == connBusy {
 			c.free()
@@ -317,5 +322,5 @@
 }
 
 func (c *Conn) setState(s connState) {
-	c.state, c.since = s, c.g.r.now()
+	c.state, c.stateSince = s, c.g.r.now()
 }
--- a/core/relay/group.go
+++ b/core/relay/group.go
@@ -12,57 +12,58 @@
 	"skylarkdeal/core/statement"
 )
 
-// group is one service's instances with what waits for them and runs on them.
+// group holds the instances of one service, and the operations that wait for them or run on them.
 type group struct {
 	r       *Relay
 	name    fleet.Service
 	service catalog.Service
-	// confined are the regions of the service's databases that may not be served everywhere.
-	confined  []catalog.AllowedRegions
-	instances map[fleet.Instance]*instance
-	belief    leader.PrimaryState
-	proofs    leader.PendingAnswers
-	samples   staleness.Samples
+	// regionLimits are the allowed regions of those databases of the service that are restricted to some.
+	regionLimits   []catalog.AllowedRegions
+	instances      map[fleet.Instance]*instance
+	primaryState   leader.PrimaryState
+	pendingAnswers leader.PendingAnswers
+	samples        staleness.Samples
 
 	queue   admit.Queue
 	waiting map[uint64]*operation
 	running map[uint64]*operation
-	// unproven are the answers that wait for their proof.
-	unproven map[uint64]*operation
-	// inquiries are other hosts' questions that wait for a connection.
-	inquiries []inquiry
-	// pumping keeps pump from calling itself.
-	pumping bool
-	// changedAt is when the last order became known, aliveAt when the primary last
-	// answered.
-	changedAt, aliveAt time.Time
-	// settledAt is when the primary was last settled.
-	settledAt time.Time
-	// unaffected is until when the last order can't have taken effect, as far as was known when
-	// it became known.
-	unaffected time.Time
-	// doubt is the latest moment up to which an operation needs the primary to have led alone,
-	// that isn't known to have.
-	doubt time.Time
-	// sampledAt is when the last point of the primary was taken in.
+	// pendingVerification holds the operations whose answers are pending verification.
+	pendingVerification map[uint64]*operation
+	// peerRequests are status requests of other hosts that wait for a connection.
+	peerRequests []peerStatusRequest
+	// dispatching prevents recursive dispatch.
+	dispatching bool
+	// promotionKnownAt is when the last promotion record became known, primaryHeardAt when the primary
+	// last responded.
+	promotionKnownAt, primaryHeardAt time.Time
+	// primaryConfirmedAt is when the primary was last confirmed.
+	primaryConfirmedAt time.Time
+	// promotionNotBefore is the earliest time at which the last promotion can have taken effect, as far
+	// as the lease told when its record became known.
+	promotionNotBefore time.Time
+	// solePrimaryWanted is the latest time up to which an operation requires a sole primary and which
+	// solePrimaryUntil hasn't reached yet, zero if none does.
+	solePrimaryWanted time.Time
+	// sampledAt is when the last sample was added.
 	sampledAt time.Time
-	// unsure is a point of the primary that waits to be proved, as the store can't prove it.
-	unsure staleness.Sample
-	// verifiedAt is when the primary was last asked whether it is one.
-	verifiedAt time.Time
-	// ableAt is when the primary could last answer.
-	ableAt time.Time
-	// unsettled is since when no primary is settled.
-	unsettled time.Time
-	// surveyed is when the replicas were asked for an order, ordering until when another
-	// one has to wait.
-	surveyed, ordering time.Time
-	// given is when the last order of this host was answered with success.
-	given time.Time
-	// listedAt is when the reading of the list of instances that is in use was begun.
-	listedAt time.Time
-	// readAt is when a read was last looked for a replica.
-	readAt time.Time
+	// unverifiedSample is a sample of the primary that is pending verification by the other instances, as
+	// the lease doesn't verify it.
+	unverifiedSample staleness.Sample
+	// primaryAskedAt is when the designated primary was last asked whether it is the primary.
+	primaryAskedAt time.Time
+	// primaryAvailableAt is when the primary was last available.
+	primaryAvailableAt time.Time
+	// unconfirmedSince is since when no primary is confirmed.
+	unconfirmedSince time.Time
+	// positionsAskedAt is when the replicas were asked for their log positions, nextPromotionAt the
+	// earliest time of the next promotion request.
+	positionsAskedAt, nextPromotionAt time.Time
+	// promotionAcceptedAt is when the last promotion request of this host was accepted.
+	promotionAcceptedAt time.Time
+	// listReadAt is when the read of the current list of instances began.
+	listReadAt time.Time
+	// replicaReadAt is when a replica was last sought for a read.
+	replicaReadAt time.Time
 }
 
 func newGroup(r *Relay, s fleet.Service) *group {
@@ -70,134 +71,136 @@
 		r: r, name: s, instances: map[fleet.Instance]*instance{},
 		queue:   admit.Queue{Limits: queueLimits},
 		waiting: map[uint64]*operation{}, running: map[uint64]*operation{},
-		unproven: map[uint64]*operation{}, unsettled: r.now(),
+		pendingVerification: map[uint64]*operation{}, unconfirmedSince: r.now(),
 	}
 }
 
-// missingFor is how long an instance may be off the list before it counts as gone: the
-// store drops those that couldn't reach it for a while, and they are back within 2 s.
-const missingFor = 2500 * time.Millisecond
+// removeAfter is how long an instance may be missing from the list before it counts as removed. The
+// store drops instances that couldn't reach it for a while, and they return within 2 s.
+const removeAfter = 2500 * time.Millisecond
 
-// listed takes in the instances of the group as the list has them.
-func (g *group) listed(is []catalog.Instance, read time.Time) {
+// setInstances updates the instances of the group from a list whose read began at readAt.
+func (g *group) setInstances(listed []catalog.Instance, readAt time.Time) {
 	now := g.r.now()
-	g.listedAt = read
-	g.forget(now)
-	for _, in := range is {
+	g.listReadAt = readAt
+	g.forgetRemoved(now)
+	for _, in := range listed {
 		i := g.instances[in.Name]
 		if i == nil || i.info.Address != in.Address || i.info.Started != in.Started {
 			if i != nil {
-				g.drop(i, "it has another address now, or has started anew")
-				// What it has said of itself was said before that.
-				g.belief.AddRefusal(in.Name)
+				g.removeInstance(i, "its address has changed or it has restarted")
+				// Its last status precedes the change.
+				g.primaryState.AddRefusal(in.Name)
 			}
-			i = &instance{g: g, info: in, lastHeard: now, doubted: now}
+			i = &instance{g: g, info: in, lastHeard: now, suspectedSince: now}
 			g.instances[in.Name] = i
-			g.noteInstance(i, "use", "it is on the list")
+			g.logInstance(i, "use", "it is listed")
 		}
 		if in.Leaving && !i.info.Leaving {
-			g.noteInstance(i, "no new work", "it is leaving")
+			g.logInstance(i, "no new work", "it is leaving")
 		}
-		i.info, i.missing, i.gone = in, time.Time{}, i.moved
+		i.info, i.unlistedSince, i.removed = in, time.Time{}, i.addressReused
 		i.coldUntil = time.Time{}
 		if in.Cold > 0 {
-			i.coldUntil = read.Add(in.Cold)
+			i.coldUntil = readAt.Add(in.Cold)
 		}
 	}
 	for _, i := range g.instances {
-		if slices.ContainsFunc(is, func(in catalog.Instance) bool { return in.Name == i.info.Name }) {
+		if slices.ContainsFunc(listed, func(in catalog.Instance) bool { return in.Name == i.info.Name }) {
 			continue
 		}
-		if i.missing.IsZero() {
-			i.missing = now
+		if i.unlistedSince.IsZero() {
+			i.unlistedSince = now
 		}
-		if now.Sub(i.missing) >= missingFor {
-			g.drop(i, "it is off the list")
+		if now.Sub(i.unlistedSince) >= removeAfter {
+			g.removeInstance(i, "it is no longer listed")
 		}
 	}
-	g.belief.SetInstances(is)
-	g.pump()
+	g.primaryState.SetInstances(listed)
+	g.dispatch()
 }
 
-func (g *group) noteInstance(i *instance, choice, why string) {
-	g.r.note(Event{
-		Kind: EventInstance, Service: g.name, Instance: i.info.Name, Choice: choice, Reason: why,
+// logInstance logs a decision on an instance.
+func (g *group) logInstance(i *instance, choice, reason string) {
+	g.r.logEvent(Event{
+		Kind: EventInstance, Service: g.name, Instance: i.info.Name, Choice: choice, Reason: reason,
 	})
 }
 
-// drop gives up an instance; what runs on it may end.
-func (g *group) drop(i *instance, why string) {
-	if i.gone {
+// removeInstance marks an instance as removed. Operations that run on it may finish.
+func (g *group) removeInstance(i *instance, reason string) {
+	if i.removed {
 		return
 	}
-	i.gone = true
-	g.noteInstance(i, "give up", why)
+	i.removed = true
+	g.logInstance(i, "stop using", reason)
 }
 
-// forget drops what has been gone for long.
-func (g *group) forget(now time.Time) {
+// forgetRemoved deletes instances that have been missing from the list for longer than keepRemoved.
+func (g *group) forgetRemoved(now time.Time) {
 	for n, i := range g.instances {
-		if i.gone && len(i.conns) == 0 && !i.missing.IsZero() && now.Sub(i.missing) > keepGone {
+		if i.removed && len(i.conns) == 0 && !i.unlistedSince.IsZero() && now.Sub(i.unlistedSince) > keepRemoved {
 			delete(g.instances, n)
 		}
 	}
 }
 
-// served reports whether any instance is there. An evacuation is no reason to send callers to
-// other hosts, as it holds for all.
-func (g *group) served() bool {
+// hasInstances reports whether any instance is neither removed nor leaving. Evacuated instances count:
+// an evacuation applies to all hosts, so that callers gain nothing on another one.
+func (g *group) hasInstances() bool {
 	for _, i := range g.instances {
-		if !i.gone && !i.info.Leaving {
+		if !i.removed && !i.info.Leaving {
 			return true
 		}
 	}
 	return false
 }
 
-// leads reports whether the group's answers of an instance are a primary's.
-func (g *group) leads(n fleet.Instance) bool {
-	if p, _, ok := g.belief.Primary(); ok && p == n {
+// isPrimary reports whether an instance is the confirmed primary, or the former one while it may still lead.
+func (g *group) isPrimary(n fleet.Instance) bool {
+	if p, _, ok := g.primaryState.Primary(); ok && p == n {
 		return true
 	}
-	f, _, ok := g.belief.FormerPrimary()
+	f, _, ok := g.primaryState.FormerPrimary()
 	return ok && f == n
 }
 
-// primary returns the instance that takes writes now. While an order is on its way the
-// former primary goes on, as long as it does.
+// primary returns the instance that takes writes now, nil if there is none. While a promotion is in
+// progress this is the former primary, until it no longer leads.
 func (g *group) primary() *instance {
-	if p, _, ok := g.belief.Primary(); ok {
+	if p, _, ok := g.primaryState.Primary(); ok {
 		return g.instances[p]
 	}
-	if f, _, ok := g.belief.FormerPrimary(); ok {
+	if f, _, ok := g.primaryState.FormerPrimary(); ok {
 		return g.instances[f]
 	}
 	return nil
 }
 
-// refusedBy takes in what a refusal tells of an instance.
-func (g *group) refusedBy(c *Conn, code statement.Code, o *operation) {
+// handleRefusal updates the state of an instance after it refused an operation.
+func (g *group) handleRefusal(c *Conn, code statement.Code, o *operation) {
 	switch code {
 	case statement.CodeUnreachable:
 		if c.via != "" {
-			c.inst.block(c.via)
+			c.inst.blockHost(c.via)
 		}
 	case statement.CodeLagging:
-		c.inst.lacked(g.r.now())
+		c.inst.addLag(g.r.now())
 	case statement.CodeReadOnly:
-		if g.leads(c.Instance) {
-			g.r.note(Event{
+		if g.isPrimary(c.Instance) {
+			g.r.logEvent(Event{
 				Kind: EventLeader, Service: g.name, Instance: c.Instance, ID: o.q.ID,
-				Choice: "not the primary any more", Reason: "it refuses to write", Code: code,
+				Choice: "no longer the primary", Reason: "it refused a write", Code: code,
 			})
 		}
-		g.belief.AddRefusal(c.Instance)
+		g.primaryState.AddRefusal(c.Instance)
 		g.r.cfg.RefreshRecords()
 	default:
 	}
 }
 
-// anyAccount returns an account under which the host may connect.
+// anyAccount returns an account for a connection of the host's own: that of a waiting operation, else the
+// first of the catalog.
 func (g *group) anyAccount() (fleet.Account, bool) {
 	for _, o := range g.waiting {
 		return o.s.account, true
--- a/core/relay/instance.go
+++ b/core/relay/instance.go
@@ -13,175 +13,178 @@
 type instance struct {
 	g    *group
 	info catalog.Instance
-	// conns are all connections to it that aren't closed.
+	// conns are this host's open connections to it, with those being dialled.
 	conns []*Conn
-	// lent counts the connections over other hosts.
-	lent int
-	// point is the farthest that its log is known to have reached.
-	point fleet.LogPosition
-	// received is the end of its log, as it last told when it was asked.
+	// forwardedCount is the number of connections over other hosts.
+	forwardedCount int
+	// position is the last known log position.
+	position fleet.LogPosition
+	// received is the end of its log, by its last status.
 	received fleet.LogPosition
-	// leads is whether it last said that it is a primary, term the term that it said, and
-	// toldAt when that was.
-	leads  bool
-	term   fleet.Term
-	toldAt time.Time
-	// termAt is when it was asked for the term.
-	termAt time.Time
-	// lastHeard is when anything came from it.
+	// leads is set if it was a primary by its last status, term is the term of that status, and
+	// statusAt is when the status was received.
+	leads    bool
+	term     fleet.Term
+	statusAt time.Time
+	// termAskedAt is when the status that term comes from was requested.
+	termAskedAt time.Time
+	// lastHeard is when it last responded on a connection of this host's own, at first when it was listed.
 	lastHeard time.Time
-	// failures counts failed connections in a row; the next is tried at next.
+	// failures is the number of consecutive failed connections, nextDial the earliest time of the next attempt.
 	failures int
-	next     time.Time
-	// doubted is when nobody last doubted it, as far as this host hears.
-	doubted time.Time
-	// failing is since when they do.
-	failing time.Time
-	// full is when it last refused a connection for want of room, and room how many
-	// were open then.
-	full time.Time
-	room int
-	// crowded counts refusals for want of room in a row.
-	crowded int
-	// work is how long its statements take, as a moving average.
-	work   time.Duration
-	workAt time.Time
-	// behind is until when it is passed over for reads, as its log lacked a point, and
-	// lags how often in a row that was so.
-	behind time.Time
-	lags   int
-	// trial is the read that finds out whether the log has come as far as it needs.
-	trial *operation
-	// blocked are the hosts that couldn't reach it, with until when they aren't asked again.
-	blocked map[fleet.Host]time.Time
-	// missing is since when it isn't on the list any more.
-	missing time.Time
-	gone    bool
-	// moved is set once another instance has answered at its address.
-	moved bool
-	// askedAt is when it was last asked what it is.
+	nextDial time.Time
+	// suspectedSince is the last time at which no host suspected it, as far as this host knows.
+	suspectedSince time.Time
+	// failingSince is when the first of these failures occurred.
+	failingSince time.Time
+	// connLimitAt is when it last refused a connection because its limit was reached, connsAtLimit how
+	// many this host had open then.
+	connLimitAt  time.Time
+	connsAtLimit int
+	// connLimitRefusals is the number of consecutive refusals for that reason.
+	connLimitRefusals int
+	// avgLatency is the moving average of the latency of its statements, avgLatencyAt when it was updated.
+	avgLatency   time.Duration
+	avgLatencyAt time.Time
+	// laggingUntil is until when reads that its log isn't known to cover avoid it, as it lacked a required
+	// position, and lagCount how often in a row it did.
+	laggingUntil time.Time
+	lagCount     int
+	// trialRead is the read in progress that was sent although the log isn't known to cover its position.
+	trialRead *operation
+	// blockedHosts are the hosts that couldn't reach it, with the time until which nothing is forwarded to them.
+	blockedHosts map[fleet.Host]time.Time
+	// unlistedSince is since when it is missing from the list, zero while it is listed.
+	unlistedSince time.Time
+	removed       bool
+	// addressReused is set once another instance has answered at its address.
+	addressReused bool
+	// askedAt is when its status was last requested.
 	askedAt time.Time
 	ranking ranking
-	// coldUntil is until when it is slow after its start, as it has said; budget is what it was
-	// sent meanwhile.
-	coldUntil time.Time
-	budget    cold.SendBudget
-	// lost is set while it couldn't be reached, or has closed all connections; back is when one was
-	// made again.
-	back time.Time
-	lost bool
+	// coldUntil is until when it is slow after its start, as it announced; coldBudget counts the
+	// statements sent to it meanwhile.
+	coldUntil  time.Time
+	coldBudget cold.SendBudget
+	// disconnected is set once a connection has failed or the instance has closed all of them, until one
+	// is opened; reconnectedAt is when that was.
+	reconnectedAt time.Time
+	disconnected  bool
 }
 
 const (
-	// crowdPause is the first pause after an instance had no room: some statements' time,
-	// in which another host may give a connection back.
-	crowdPause = 30 * time.Millisecond
-	// crowdPauseMax bounds that pause. A refusal takes 12 ms of a slot, so that one host which
-	// asks again takes a tenth of one; and the room that others leave is soon used.
-	crowdPauseMax = 120 * time.Millisecond
-	// backoffMin and backoffMax bound the pause before the next try to connect to an
-	// instance that couldn't be reached. The first is about the time that a connection
-	// takes; the last bounds how late a returned instance is found.
-	backoffMin = 50 * time.Millisecond
-	backoffMax = 800 * time.Millisecond
+	// connLimitPause is the first pause after an instance refused a connection because its limit was
+	// reached: the time of some statements, in which another host may release a connection.
+	connLimitPause = 30 * time.Millisecond
+	// connLimitPauseMax bounds that pause. A refusal takes 12 ms of a slot, so that a host that retries
+	// at this interval takes a tenth of a slot. A released connection is noticed soon.
+	connLimitPauseMax = 120 * time.Millisecond
+	// dialBackoffMin and dialBackoffMax bound the pause before the next attempt to connect to an
+	// unreachable instance. The minimum is about the time that a connection takes; the maximum bounds
+	// how late the return of an instance is noticed.
+	dialBackoffMin = 50 * time.Millisecond
+	dialBackoffMax = 800 * time.Millisecond
 )
 
+// heard records a response of the instance on a connection of this host's own.
 func (i *instance) heard(now time.Time) {
 	i.lastHeard = now
 	i.failures = 0
 }
 
-// heardLately reports whether anything has come from the instance a moment ago: a connection
-// that breaks then tells of itself alone, and the next one is made without a pause. One whose
-// instance has died is followed by a new one that fails.
-func (i *instance) heardLately(now time.Time) bool {
-	return now.Sub(i.lastHeard) < wonderAfter
+// heardRecently reports whether the instance has responded within probeAfter. A connection that breaks
+// then is no sign of a failed instance, and the next one is made without a pause. If the instance has
+// in fact died, that next connection fails.
+func (i *instance) heardRecently(now time.Time) bool {
+	return now.Sub(i.lastHeard) < probeAfter
 }
 
-func (i *instance) worked(now time.Time, took time.Duration) {
-	if i.work == 0 {
-		i.work = took
+// addLatency adds the latency of a statement to the moving average.
+func (i *instance) addLatency(now time.Time, took time.Duration) {
+	if i.avgLatency == 0 {
+		i.avgLatency = took
 	}
-	i.work += (took - i.work) / 8
-	i.workAt = now
+	i.avgLatency += (took - i.avgLatency) / 8
+	i.avgLatencyAt = now
 }
 
-// failed takes in that a connection couldn't be made or broke while it owed an answer.
-func (i *instance) failed(now time.Time, why string) {
+// addFailure records that a connection couldn't be made, or broke with an answer pending, and sets the
+// pause before the next attempt.
+func (i *instance) addFailure(now time.Time, reason string) {
 	if i.failures == 0 {
-		i.failing = now
-		i.g.r.note(Event{
+		i.failingSince = now
+		i.g.r.logEvent(Event{
 			Kind: EventInstance, Service: i.g.name, Instance: i.info.Name,
-			Choice: "unreachable", Reason: why, Age: now.Sub(i.lastHeard),
+			Choice: "unreachable", Reason: reason, Age: now.Sub(i.lastHeard),
 		})
 	}
 	i.failures++
-	i.lost = true
-	pause := backoffMin << min(i.failures-1, 10)
-	i.next = now.Add(min(pause, backoffMax))
+	i.disconnected = true
+	pause := dialBackoffMin << min(i.failures-1, 10)
+	i.nextDial = now.Add(min(pause, dialBackoffMax))
 }
 
-// turned takes in that the instance has refused a connection that was begun at some moment.
-func (i *instance) turned(now, begun time.Time, c statement.Code) {
+// connectRefused handles a connection, begun at dialledAt, that the instance has refused.
+func (i *instance) connectRefused(now, dialledAt time.Time, c statement.Code) {
 	switch c {
 	case statement.CodeTooMany:
 		i.heard(now)
-		if !begun.After(i.full) {
-			// It was begun beside another that was refused, and tells nothing new.
+		if !dialledAt.After(i.connLimitAt) {
+			// It was dialled before the last such refusal, which already set the pause.
 			return
 		}
-		i.full, i.room = now, i.standing()
-		i.next = now.Add(min(crowdPause<<min(i.crowded, 10), crowdPauseMax))
-		i.crowded++
+		i.connLimitAt, i.connsAtLimit = now, i.openConns()
+		i.nextDial = now.Add(min(connLimitPause<<min(i.connLimitRefusals, 10), connLimitPauseMax))
+		i.connLimitRefusals++
 	case statement.CodeMisrouted:
-		// Another instance has the address now: this one has gone, whatever the list says.
-		i.moved, i.gone = true, true
-		i.next = now.Add(backoffMax)
+		// Another instance has the address now: this one is removed, even if it is still listed.
+		i.addressReused, i.removed = true, true
+		i.nextDial = now.Add(dialBackoffMax)
 	default:
-		i.failed(now, "refused: "+string(c))
+		i.addFailure(now, "connection refused: "+string(c))
 	}
 }
 
-// lacked takes in that the log lacks a point that a read needs. A replica that is far
-// behind would else be asked in vain by every read, while its caller waits.
-func (i *instance) lacked(now time.Time) {
-	i.behind = now.Add(min(lagPause<<min(i.lags, 10), lagPauseMax))
-	i.lags++
+// addLag records that the log lacked the required position of a read, and sets the time until which
+// reads avoid the replica. Otherwise every read would try a replica that lags far behind, while its
+// caller waits.
+func (i *instance) addLag(now time.Time) {
+	i.laggingUntil = now.Add(min(lagBackoffMin<<min(i.lagCount, 10), lagBackoffMax))
+	i.lagCount++
 }
 
-// mayTry reports whether a read may go to the instance although its log isn't known to cover
-// what the read needs: a while after it last lacked a point, and one read at a time. With
-// the replicas of a group seconds behind, a dozen reads went there together at each try,
-// took their turns, and came back up to half a second later with nothing.
-func (i *instance) mayTry(now time.Time, o *operation) bool {
-	return !now.Before(i.behind) && (i.trial == nil || i.trial == o)
+// mayTrialRead reports whether a read may go to the instance although its log isn't known to cover
+// the required position: only after the pause that addLag sets, and one read at a time. When the
+// replicas of a group lagged by seconds, a dozen reads went to one at each attempt, queued there, and
+// were refused up to half a second later.
+func (i *instance) mayTrialRead(now time.Time, o *operation) bool {
+	return !now.Before(i.laggingUntil) && (i.trialRead == nil || i.trialRead == o)
 }
 
-// blockedFor is how long a host that can't reach an instance isn't asked again.
-const blockedFor = 500 * time.Millisecond
+// blockedHostFor is how long statements for an instance aren't forwarded to a host that can't reach it.
+const blockedHostFor = 500 * time.Millisecond
 
-// block takes in that another host can't reach the instance, and sees whether this one
-// can.
-func (i *instance) block(h fleet.Host) {
+// blockHost records that another host can't reach the instance, and probes whether this host can.
+func (i *instance) blockHost(h fleet.Host) {
 	now := i.g.r.now()
-	if i.blocked == nil {
-		i.blocked = map[fleet.Host]time.Time{}
+	if i.blockedHosts == nil {
+		i.blockedHosts = map[fleet.Host]time.Time{}
 	}
-	i.blocked[h] = now.Add(blockedFor)
-	if now.Sub(i.lastHeard) > wonderAfter && !i.spared(now) {
+	i.blockedHosts[h] = now.Add(blockedHostFor)
+	if now.Sub(i.lastHeard) > probeAfter && !i.leavesProbeToHolder(now) {
 		i.g.probe(now, i)
 	}
 }
 
-// usable reports whether new work may go to the instance.
-func (i *instance) usable() bool { return !i.gone && !i.info.Leaving && !i.evacuated() }
+// usable reports whether new operations may go to the instance.
+func (i *instance) usable() bool { return !i.removed && !i.info.Leaving && !i.evacuated() }
 
-// local reports whether it is in this host's data centre.
+// local reports whether the instance is in this host's data centre.
 func (i *instance) local() bool { return i.info.DataCentre == i.g.r.cfg.DataCentre }
 
-// busy counts the connections that are at work.
-func (i *instance) busy() int {
-	n := i.lent
+// busyConns returns the number of connections that run an operation, with all those over other hosts.
+func (i *instance) busyConns() int {
+	n := i.forwardedCount
 	for _, c := range i.conns {
 		if c.state == connBusy && c.op != nil {
 			n++
@@ -190,12 +193,12 @@
 	return n
 }
 
-// working returns for how long the instance has worked on its oldest statement.
-func (i *instance) working(now time.Time) time.Duration {
+// oldestStatementAge returns how long ago the oldest pending statement was sent, 0 if none is pending.
+func (i *instance) oldestStatementAge(now time.Time) time.Duration {
 	oldest := time.Duration(0)
 	for _, c := range i.conns {
-		if len(c.owed) > 0 {
-			oldest = max(oldest, now.Sub(c.owed[0].asked))
+		if len(c.pending) > 0 {
+			oldest = max(oldest, now.Sub(c.pending[0].sentAt))
 		}
 	}
 	return oldest
--- a/core/relay/operation.go
+++ b/core/relay/operation.go
@@ -11,92 +11,92 @@
 	"skylarkdeal/core/statement"
 )
 
-// operation is one statement on its way to an instance and back.
+// operation is one statement of a session, from its arrival to its answer.
 type operation struct {
-	s     *Session
-	g     *group
-	q     statement.Statement
-	prep  *prepared
-	route catalog.Route
-	key   uint64
-	// writes is set for what may change data, and is sent at most once.
+	s        *Session
+	g        *group
+	q        statement.Statement
+	prepared *prepared
+	route    catalog.Route
+	key      uint64
+	// writes is set for a statement that may change data. It is sent at most once.
 	writes bool
-	// lead is set for what only the primary can answer.
-	lead bool
-	// opens is set for the first statement of a transaction.
-	opens bool
+	// needsPrimary is set for a statement that only the primary can answer.
+	needsPrimary bool
+	// beginsTx is set for the first statement of a transaction.
+	beginsTx bool
 
-	asked, deadline time.Time
-	homes           homes
-	// age is the moment before which acknowledged commits have to be shown by a read.
-	age   time.Time
-	tries int
-	avoid fleet.Set[fleet.Instance]
+	startedAt, deadline time.Time
+	regions             allowedRegions
+	// A read has to show all commits that were acknowledged before asOf.
+	asOf     time.Time
+	attempts int
+	excluded fleet.Set[fleet.Instance]
 
-	// conn runs the operation, dial is being made for it.
-	conn, dial *Conn
-	// sent is set once the statement itself has been handed to the instance, at sentAt.
+	// conn runs the operation. dialling is a connection that is being made for it.
+	conn, dialling *Conn
+	// sent is set once the statement itself was sent to the instance, at sentAt.
 	sent   bool
 	sentAt time.Time
-	// ran is set once it was sent to any instance.
-	ran bool
-	// after is the point that the read was sent with.
-	after fleet.Option[fleet.LogPosition]
-	// answer waits for its proof.
-	answer *statement.Answer
-	// over is set once the caller has its answer.
-	over bool
+	// everSent is set once it was sent to any instance.
+	everSent bool
+	// requiredPosition is the log position that the read was sent with.
+	requiredPosition fleet.Option[fleet.LogPosition]
+	// unverifiedAnswer is the answer whose verification is pending.
+	unverifiedAnswer *statement.Answer
+	// finished is set once the caller has its answer.
+	finished bool
 }
 
-// maxTries bounds how often one statement is sent off. Three instances and one more
-// try after a change of primary are all there is to try.
-const maxTries = 6
+// maxAttempts bounds how often one statement is sent. There are three instances to try, and one more
+// attempt after a promotion.
+const maxAttempts = 6
 
 func newOperation(s *Session, q statement.Statement, p *prepared) *operation {
 	now := s.r.now()
 	o := &operation{
-		s: s, q: q, prep: p, route: s.route, key: s.r.nextKey(), asked: now,
-		g: s.r.group(s.route.Service), avoid: fleet.NewSet[fleet.Instance](),
+		s: s, q: q, prepared: p, route: s.route, key: s.r.nextKey(), startedAt: now,
+		g: s.r.group(s.route.Service), excluded: fleet.NewSet[fleet.Instance](),
 	}
 	o.deadline = now.Add(s.route.Timeout)
 	o.writes = q.Kind == statement.KindWrite || q.Kind == statement.KindCommit ||
-		p != nil && p.shape.Writes
-	o.opens = s.tx.open && s.tx.conn == nil
+		p != nil && p.definition.Writes
+	o.beginsTx = s.tx.open && s.tx.conn == nil
 	reads := !o.writes
-	began := now
+	startedAt := now
 	if s.tx.open {
-		reads, began = s.tx.read, s.tx.asked
+		reads, startedAt = s.tx.read, s.tx.begunAt
 	}
-	o.lead = s.instance != "" || !reads || s.route.Consistency == catalog.ConsistencyPrimary
-	o.age = began
+	o.needsPrimary = s.boundInstance != "" || !reads || s.route.Consistency == catalog.ConsistencyPrimary
+	o.asOf = startedAt
 	if s.route.Consistency != catalog.ConsistencyPrimary {
-		o.age = began.Add(-s.route.MaxAge)
+		o.asOf = startedAt.Add(-s.route.MaxAge)
 	}
 	if p != nil {
 		o.q.Name = p.name
 	}
-	o.homes.route = s.route.AllowedRegions
+	o.regions.route = s.route.AllowedRegions
 	if s.r.catalog != nil {
-		o.homes.account = s.r.catalog.Accounts[s.account].AllowedRegions
+		o.regions.account = s.r.catalog.Accounts[s.account].AllowedRegions
 	}
-	if s.instance != "" {
-		// The host that asks has seen to its homes.
-		o.homes = homes{}
-		o.after = q.After
+	if s.boundInstance != "" {
+		// The requesting host has checked the regions.
+		o.regions = allowedRegions{}
+		o.requiredPosition = q.After
 		if s.tx.open {
-			o.after = s.tx.after
+			o.requiredPosition = s.tx.requiredPosition
 		}
 	}
 	return o
 }
 
-// start sends the operation off, or has it wait for a connection.
+// start sends the operation on the connection of its transaction, or queues it.
 func (o *operation) start() {
-	o.s.op, o.s.turned = o, false
+	o.s.op, o.s.lastRefused = o, false
 	if c := o.s.tx.conn; o.s.tx.open && c != nil {
-		if why := o.barred(c); why != "" {
-			o.s.fail()
-			o.refuse(statement.CodeAborted, "rolled back: "+why, retrySoon)
+		if reason := o.blockedReason(c); reason != "" {
+			o.s.failTransaction()
+			o.refuse(statement.CodeAborted, "rolled back: "+reason, shortRetryAfter)
 			return
 		}
 		o.conn = c
@@ -105,37 +105,37 @@
 		o.execute()
 		return
 	}
-	o.wait()
+	o.enqueue()
 }
 
-// barred says why the next statement of a transaction may not be sent on the connection that runs it;
-// nothing if it may.
-func (o *operation) barred(c *Conn) string {
+// blockedReason returns why the next statement of a transaction may not be sent on the connection that
+// runs it, empty if it may.
+func (o *operation) blockedReason(c *Conn) string {
 	now := o.g.r.now()
 	switch {
-	case c.inst.closed(now):
+	case c.inst.evacuationExpired(now):
 		return "its data centre is evacuated"
-	case c.via == "" && !c.inst.bearsMore(now):
+	case c.via == "" && !c.inst.canContinue(now):
 		return "its instance has just started and bears no more"
 	default:
 		return ""
 	}
 }
 
-// wait queues the operation.
-func (o *operation) wait() {
+// enqueue queues the operation, or refuses it if it can't be served in time.
+func (o *operation) enqueue() {
 	now := o.g.r.now()
-	if why, after := o.g.hopeless(now, o); why != "" {
+	if reason, retryAfter := o.g.refusalReason(now, o); reason != "" {
 		code := statement.CodeBusy
-		if i := o.g.instances[o.s.instance]; o.s.instance != "" && (i == nil || i.open(now)) {
+		if i := o.g.instances[o.s.boundInstance]; o.s.boundInstance != "" && (i == nil || i.acceptsNew(now)) {
 			code = statement.CodeUnreachable
 		}
-		o.refuse(code, why, after)
+		o.refuse(code, reason, retryAfter)
 		return
 	}
-	o.sent, o.conn, o.dial = false, nil, nil
+	o.sent, o.conn, o.dialling = false, nil, nil
 	v := o.g.queue.Enqueue(now, admit.Item{
-		Key: o.key, Account: o.s.account, Weight: o.weight(), Deadline: o.patience(),
+		Key: o.key, Account: o.s.account, Weight: o.queueWeight(), Deadline: o.waitDeadline(),
 		Intent: o.intent(),
 	})
 	if v.Refusal != nil {
@@ -143,28 +143,27 @@
 		return
 	}
 	o.g.waiting[o.key] = o
-	o.g.pump()
-	if !o.over && o.conn == nil {
-		o.g.r.hurry()
+	o.g.dispatch()
+	if !o.finished && o.conn == nil {
+		o.g.r.requestTick()
 	}
 }
 
-// waitTargets is how many times its route's target an operation may wait for its turn.
+// maxWaitTargets is how long an operation may wait in the queue, in multiples of its route's target.
 //
-// It is made for more work than the instances can do: replicas far behind and all reads
-// on the primary, or a burst. What has waited for longer is late for its caller
-// already, and each late answer makes the next one late. Its caller is told to come back
-// instead, while there is time. With both replicas behind, a burst and a flood, callers
-// got 0.871 of what they were owed, 0.831 with twice the target (means of three runs), and
-// less with four times.
-const waitTargets = 1
+// Designed for more work than the instances can do, such as a burst, or replicas so far behind that all
+// reads go to the primary. An operation that has waited for longer is late already, and each late
+// answer delays the next one. Its caller is told to retry later instead, while there is time. With both
+// replicas behind, a burst and a flood, callers got 0.871 of the answers that were due, 0.831 with
+// twice the target (means of three runs), and less with four times.
+const maxWaitTargets = 1
 
-// patience is until when the operation may wait for its turn.
-func (o *operation) patience() time.Time {
+// waitDeadline returns until when the operation may wait in the queue.
+func (o *operation) waitDeadline() time.Time {
 	if o.route.Target <= 0 {
 		return o.deadline
 	}
-	until := o.asked.Add(waitTargets * o.route.Target)
+	until := o.startedAt.Add(maxWaitTargets * o.route.Target)
 	if until.Before(o.deadline) {
 		return until
 	}
@@ -172,28 +171,28 @@
 }
 
 func (o *operation) intent() exchange.Intent {
-	if o.lead {
+	if o.needsPrimary {
 		return exchange.IntentWrite
 	}
 	return exchange.IntentRead
 }
 
-// weight is the account's share of a queue against the others': its rate.
-func (o *operation) weight() float64 {
+// queueWeight returns the weight of the account in the queue: its rate.
+func (o *operation) queueWeight() float64 {
 	if c := o.g.r.catalog; c != nil {
 		return max(c.Accounts[o.s.account].Rate, 1)
 	}
 	return 1
 }
 
-// run takes the connection that was found.
-func (o *operation) run(c *Conn) {
+// runOn runs the operation on a connection.
+func (o *operation) runOn(c *Conn) {
 	delete(o.g.waiting, o.key)
 	o.g.running[o.key] = o
 	o.conn = c
-	o.tries++
-	if s, ok := o.need(); ok && !c.inst.point.Covers(s.Position) {
-		c.inst.trial = o
+	o.attempts++
+	if s, ok := o.replicaRequirement(); ok && !c.inst.position.Covers(s.Position) {
+		c.inst.trialRead = o
 	}
 	c.setState(connBusy)
 	c.op = o
@@ -203,35 +202,34 @@
 	o.execute()
 }
 
-// execute gives the connection the session's values and then sends the statement.
+// execute sets up the connection for the session, and then sends the statement.
 //
-// A statement must not run where setting a value or beginning a transaction has failed:
-// it would show other rows, or commit on its own. So it is sent once these are answered.
-// What is only to be prepared goes ahead of it at once, as an instance that lacks the
-// prepared statement refuses to run it.
+// A statement must not run where setting a value or beginning a transaction has failed: it would return
+// other rows, or commit on its own. So it is sent once these are answered. Prepare statements are sent
+// ahead of it without waiting, since an instance that lacks the prepared statement refuses to run it.
 func (o *operation) execute() {
 	c := o.conn
-	qs := c.setup(o.s, o.prep)
-	c.applied(o.s, o.prep, qs)
-	if o.s.instance == "" {
-		s, ok := o.need()
-		if !ok && !o.unbound() {
-			// Nothing tells any more which point the log has to cover.
-			o.unready(statement.CodeLagging, statement.TxNone)
+	qs := c.setupStatements(o.s, o.prepared)
+	c.recordSetup(o.s, o.prepared, qs)
+	if o.s.boundInstance == "" {
+		s, ok := o.replicaRequirement()
+		if !ok && !o.anyPosition() {
+			// No sample tells any more which position the log has to cover.
+			o.setupFailed(statement.CodeLagging, statement.TxNone)
 			return
 		}
-		o.after = fleet.Option[fleet.LogPosition]{}
+		o.requiredPosition = fleet.Option[fleet.LogPosition]{}
 		if ok {
-			o.after = fleet.Some(s.Position)
+			o.requiredPosition = fleet.Some(s.Position)
 		}
 	}
-	sets := len(qs)
-	if o.opens {
-		qs = append(qs, o.beginning())
+	setupCount := len(qs)
+	if o.beginsTx {
+		qs = append(qs, o.beginStatement())
 	}
-	if !needsAnswer(qs) || c.via != "" {
-		// Another host sees to the order itself.
-		o.main(qs)
+	if !needsReply(qs) || c.via != "" {
+		// The other host keeps to this order itself.
+		o.sendStatement(qs)
 		return
 	}
 	failed, answered := statement.CodeNone, 0
@@ -243,7 +241,7 @@
 		if failed == statement.CodeNone {
 			failed = a.Code
 		}
-		c.spoilt = c.spoilt || answered <= sets
+		c.dirty = c.dirty || answered <= setupCount
 	}
 	c.send(qs, each, func(a statement.Answer) {
 		each(a)
@@ -251,14 +249,14 @@
 			return
 		}
 		if failed != statement.CodeNone {
-			o.unready(failed, a.State)
+			o.setupFailed(failed, a.State)
 			return
 		}
-		o.main(nil)
+		o.sendStatement(nil)
 	})
 }
 
-func needsAnswer(qs []statement.Statement) bool {
+func needsReply(qs []statement.Statement) bool {
 	for _, q := range qs {
 		if q.Kind != statement.KindPrepare {
 			return true
@@ -267,98 +265,97 @@
 	return false
 }
 
-func (o *operation) beginning() statement.Statement {
-	b := statement.Statement{ID: o.s.tx.begin, Kind: statement.KindBegin, After: o.after}
+func (o *operation) beginStatement() statement.Statement {
+	b := statement.Statement{ID: o.s.tx.beginID, Kind: statement.KindBegin, After: o.requiredPosition}
 	if o.s.tx.read {
 		b.Kind = statement.KindBeginRead
 	}
 	return b
 }
 
-// unbound reports whether the instance may run the operation wherever its log ends.
-func (o *operation) unbound() bool { return o.lead || o.g.leads(o.conn.Instance) }
+// anyPosition reports whether the instance may run the operation regardless of its log position.
+func (o *operation) anyPosition() bool { return o.needsPrimary || o.g.isPrimary(o.conn.Instance) }
 
-// need is the point that the instance's log has to cover, for a read on a replica, and whether
-// there is one.
-func (o *operation) need() (staleness.Sample, bool) {
-	if o.unbound() {
+// replicaRequirement returns the sample whose position the instance's log has to cover, or false if
+// there is none, as for a read on the primary.
+func (o *operation) replicaRequirement() (staleness.Sample, bool) {
+	if o.anyPosition() {
 		return staleness.Sample{}, false
 	}
-	return o.g.needs(o)
+	return o.g.requiredSample(o)
 }
 
-// main sends the statement itself, behind ahead.
-func (o *operation) main(ahead []statement.Statement) {
+// sendStatement sends the statement itself, after those in ahead.
+func (o *operation) sendStatement(ahead []statement.Statement) {
 	q := o.q
 	if !o.s.tx.open {
-		q.After = o.after
+		q.After = o.requiredPosition
 	}
 	o.sent, o.sentAt = true, o.g.r.now()
-	if _, ok := o.after.Get(); ok && o.s.instance == "" && o.g.changing(o.sentAt) {
-		o.note(EventPlace, "read a replica", "its log is to cover the point", statement.CodeNone)
+	if _, ok := o.requiredPosition.Get(); ok && o.s.boundInstance == "" && o.g.promotionRecent(o.sentAt) {
+		o.logEvent(EventPlace, "read a replica", "its log has to cover the required position", statement.CodeNone)
 	}
-	o.ran, o.s.tx.ran = true, true
+	o.everSent, o.s.tx.mayHaveRun = true, true
 	if o.s.tx.open {
 		o.s.tx.conn = o.conn
-		o.s.tx.writes = o.s.tx.writes || o.writes && q.Kind != statement.KindCommit
+		o.s.tx.mayHaveWritten = o.s.tx.mayHaveWritten || o.writes && q.Kind != statement.KindCommit
 	}
 	ahead = append(ahead, q)
 	if o.conn.via == "" {
-		o.conn.inst.spend(o.sentAt, ahead)
+		o.conn.inst.countSent(o.sentAt, ahead)
 	}
-	o.conn.send(ahead, nil, o.answered)
+	o.conn.send(ahead, nil, o.handleAnswer)
 }
 
-// unready handles a connection that could not be made ready: nothing was run. One on
-// which a transaction had begun is left to it.
-func (o *operation) unready(code statement.Code, state statement.TxState) {
+// setupFailed handles a connection that couldn't be set up; the statement was not run. A connection on
+// which the transaction had begun is left to the transaction.
+func (o *operation) setupFailed(code statement.Code, state statement.TxState) {
 	c := o.conn
-	o.g.refusedBy(c, code, o)
+	o.g.handleRefusal(c, code, o)
 	c.op = nil
-	if !o.begun() {
+	if !o.txBegun() {
 		c.session = nil
-		well := code == statement.CodeLagging || code == statement.CodeReadOnly || code == statement.CodeBusy
-		c.retireUnless(well && state == statement.TxNone)
+		reusable := code == statement.CodeLagging || code == statement.CodeReadOnly || code == statement.CodeBusy
+		c.freeIf(reusable && state == statement.TxNone)
 	}
-	if o.s.instance != "" && !o.begun() && code.NotRun() {
-		// Only the host that asks can choose another instance.
-		o.leave(o.g.r.now(), 0)
-		o.refuse(code, "the instance has turned it away", retrySoon)
+	if o.s.boundInstance != "" && !o.txBegun() && code.NotRun() {
+		// Only the requesting host can choose another instance.
+		o.releaseSlot(o.g.r.now(), 0)
+		o.refuse(code, "the instance has turned it away", shortRetryAfter)
 		return
 	}
-	o.again(code)
+	o.retry(code)
 }
 
-// begun reports whether an instance has run any of the operation's transaction before it.
-func (o *operation) begun() bool { return o.s.tx.open && !o.opens }
+// txBegun reports whether an instance has run an earlier statement of the operation's transaction.
+func (o *operation) txBegun() bool { return o.s.tx.open && !o.beginsTx }
 
-// retireUnless frees a connection whose last answer tells that all is well with it, and
-// closes any other.
-func (c *Conn) retireUnless(well bool) {
-	if well {
+// freeIf frees a connection that its last answer shows to be reusable, and closes any other.
+func (c *Conn) freeIf(reusable bool) {
+	if reusable {
 		c.free()
 		return
 	}
 	c.retire()
 }
 
-func (o *operation) note(k EventKind, choice, why string, code statement.Code) {
+func (o *operation) logEvent(k EventKind, choice, reason string, code statement.Code) {
 	e := Event{
 		Kind: k, ID: o.q.ID, Database: o.route.Database, Service: o.g.name, Account: o.s.account,
-		Choice: choice, Reason: why, Code: code, Took: o.g.r.now().Sub(o.asked), Consistency: o.route.Consistency,
+		Choice: choice, Reason: reason, Code: code, Took: o.g.r.now().Sub(o.startedAt), Consistency: o.route.Consistency,
 	}
 	if o.conn != nil {
-		e.Instance, e.InstancePoint = o.conn.Instance, o.conn.inst.point
+		e.Instance, e.InstancePosition = o.conn.Instance, o.conn.inst.position
 	}
-	if p, ok := o.after.Get(); ok {
-		e.RequiredPoint = p
+	if p, ok := o.requiredPosition.Get(); ok {
+		e.RequiredPosition = p
 	}
-	if s, ok := o.g.samples.Oldest(o.age); ok && k == EventPlace {
+	if s, ok := o.g.samples.Oldest(o.asOf); ok && k == EventPlace {
 		e.Age = o.g.r.now().Sub(s.AskedAt)
 	}
 	if o.conn != nil {
 		e.Host = o.conn.via
 	}
 	e.AlwaysLog = code != statement.CodeNone || e.Took > o.route.Target
-	o.g.r.note(e)
+	o.g.r.logEvent(e)
 }
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the settings of one host.
+// Package settings parses and validates the settings file of one host.
 package settings
 
 import (
@@ -12,8 +12,8 @@
 	"skylarkdeal/core/inifile"
 )
 
-// Settings are what one host is told at its start. All else stands in the
-// documents.
+// Settings are what one host reads at its start. What applies to a service on all
+// hosts is in the documents.
 type Settings struct {
 	Host     Host
 	Caller   Caller
@@ -23,104 +23,103 @@
 	Upstream Upstream
 	Adapter  Adapter
 	Log      Log
-	// Regions are those of the data centres.
+	// Regions maps data centres to their regions.
 	Regions map[fleet.DataCentre]fleet.Region
 }
 
-// Host says who the host is.
+// Host identifies the host.
 type Host struct {
 	Name       fleet.Host
 	DataCentre fleet.DataCentre
 }
 
-// Caller is the side of the callers.
+// Caller configures the listener for callers and the limits on their sessions.
 type Caller struct {
 	Address string
-	// MaxSessions bounds the open sessions.
+	// MaxSessions limits the open sessions on the host.
 	MaxSessions int
-	// MaxMessage bounds one message of a caller, in bytes.
+	// MaxMessage limits the size of one message from a caller, in bytes.
 	MaxMessage int
-	// StartupTimeout bounds the time until a caller has shown its key.
+	// StartupTimeout limits the time from connecting until a caller has authenticated.
 	StartupTimeout time.Duration
-	// MaxUnread bounds the bytes of answers that wait for one caller.
+	// MaxUnread limits the bytes of responses that one caller has not read yet.
 	MaxUnread int
 }
 
-// Peer is the side of the other hosts.
+// Peer configures the listener for other hosts and the connections to them.
 type Peer struct {
 	Address string
-	// SecretFile holds what the hosts of one fleet show each other; empty when
-	// their network is closed to all others.
+	// SecretFile is the file with the secret by which the hosts of one fleet authenticate
+	// each other. It is empty if only these hosts can reach their network.
 	SecretFile string
-	// Seeds are addresses of other hosts, asked first at the start.
+	// Seeds are addresses of other hosts, which the host contacts first at its start.
 	Seeds []string
 }
 
-// Operator is the side of the operators: metrics, state, health.
+// Operator configures the listener for operators, which serves metrics, state and health.
 type Operator struct {
 	Address string
 	Pprof   bool
 }
 
-// Store is the platform's store.
+// Store configures the access to the platform's store.
 type Store struct {
 	Endpoints []string
-	// Prefix starts every key and ends in a slash.
+	// Prefix is the prefix of all keys of this system. It begins and ends with a slash.
 	Prefix string
-	// Timeout bounds one call.
+	// Timeout limits one call to the store.
 	Timeout time.Duration
-	// HostList is the key of the platform's own list of hosts, empty when there is
-	// none.
+	// HostList is the key of the platform's own list of hosts, empty if there is none.
 	HostList string
 }
 
-// Upstream is how the host shows itself to the database instances.
+// Upstream holds the credentials of the host at the database instances.
 type Upstream struct {
 	User string
-	// PasswordFile is empty when the instances ask for none.
+	// PasswordFile is the file with the password, empty if the instances ask for none.
 	PasswordFile string
 }
 
-// AdapterKind says in which way the host speaks to all around it.
+// AdapterKind selects the protocols between the host and its callers, instances and store.
 type AdapterKind string
 
 // The kinds of adapters.
 const (
-	// AdapterNone is the product's own interface: callers and instances speak PostgreSQL,
-	// the store etcd v3.
+	// AdapterNone uses the product's own interfaces: callers and instances use the
+	// PostgreSQL protocol, the store that of etcd v3.
 	AdapterNone AdapterKind = "none"
-	// AdapterPlatform is for the prepared machines.
+	// AdapterPlatform uses the interfaces of the prepared machines.
 	AdapterPlatform AdapterKind = "platform"
 )
 
-// Adapter is what a host needs to know of the machines that it was prepared for.
+// Adapter describes the platform that the host runs on.
 type Adapter struct {
 	Kind AdapterKind
-	// Balancer is where the balancer asks whether the host is ready.
-	Balancer string
-	// Promotions is where changes of primary are ordered.
-	Promotions string
-	// Grace is the time between the request to end and the end.
-	Grace time.Duration
-	// RateWindow is the span over which an account's rate and burst are counted.
+	// BalancerAddress is the address at which the load balancer asks whether the host is ready.
+	BalancerAddress string
+	// PromotionsAddress is the address to which the host sends promotion requests.
+	PromotionsAddress string
+	// ShutdownTimeout is how long a shutdown may take, from its request to the end of the process.
+	ShutdownTimeout time.Duration
+	// RateWindow is the interval over which an account's rate and burst are counted.
 	RateWindow time.Duration
-	// PromotionLeast is the least time in which the platform carries out an order, whichever it
-	// is, and PromotionDelay the time that it usually takes.
-	PromotionLeast, PromotionDelay time.Duration
-	// Memory is the most that the process may take, in bytes.
+	// MinPromotionTime is the shortest time in which the platform carries out any promotion request,
+	// and UsualPromotionTime the time that it usually takes.
+	MinPromotionTime, UsualPromotionTime time.Duration
+	// Memory is the most memory that the process may use, in bytes.
 	Memory int
-	// Capacity is the part of the processor that is the host's; zero if it isn't told.
+	// Capacity is how much of the processor the host may use, in cores; zero if it isn't known.
 	Capacity fleet.Capacity
-	// Evacuate is the time in which an evacuation has to be over.
-	Evacuate time.Duration
-	// Cold is how much more than the rate that a cold instance bears it may be sent.
-	Cold cold.Limit
+	// EvacuationTimeout is how long an evacuation of a data centre may take.
+	EvacuationTimeout time.Duration
+	// ColdLimit limits how far the fleet may exceed the rate that a cold instance can carry.
+	ColdLimit cold.Limit
 }
 
-// Level is the least severe level that is logged.
+// Level is the severity of a log line.
 type Level string
 
-// The levels.
+// The levels, from the least to the most severe.
 const (
 	LevelDebug Level = "debug"
 	LevelInfo  Level = "info"
@@ -128,55 +127,57 @@
 	LevelError Level = "error"
 )
 
-// Log is what is logged.
+// Log configures the log.
 type Log struct {
+	// Level is the least severe level that is logged.
 	Level Level
 }
 
-// The defaults and the bounds of settings. The bounds keep a slip of a unit
-// from passing as a choice. DefaultStoreTimeout lets calls to a store that is
-// slow by two seconds succeed, and one that fails leaves time for another before
-// the host's lease lapses.
+// The defaults and the limits of settings. The limits reject values that were
+// written in the wrong unit by mistake.
 const (
 	DefaultMaxSessions    = 10000
 	DefaultMaxMessage     = 1 << 20
 	DefaultStartupTimeout = 5 * time.Second
 	DefaultMaxUnread      = 256 << 10
 	DefaultPrefix         = "/skylarkdeal/"
-	DefaultStoreTimeout   = 3 * time.Second
-	DefaultUser           = "skylarkdeal"
-
-	maxSessions  = 1 << 20
-	smallestSize = 1 << 10
-	largestSize  = 1 << 30
+	// DefaultStoreTimeout lets a call succeed that takes the store two seconds longer
+	// than usual. After a call that fails, there is time for another one before the
+	// host's lease expires.
+	DefaultStoreTimeout = 3 * time.Second
+	DefaultUser         = "skylarkdeal"
+
+	maxSessions = 1 << 20
+	minSize     = 1 << 10
+	maxSize     = 1 << 30
 )
 
-// Parse reads the settings in text; file is what mistakes call it. The error
-// holds all mistakes at once, as inifile.Mistakes.
+// Parse parses the settings in text. file is the file name in the mistakes. The
+// error is an inifile.Mistakes that lists all mistakes.
 func Parse(file string, text []byte) (*Settings, error) {
 	f := inifile.Read(file, text)
 	s := &Settings{
-		Host:     host(f.Section("host")),
-		Caller:   caller(f.Section("caller")),
-		Peer:     peer(f.Section("peer")),
-		Operator: operator(f.Section("operator")),
-		Store:    store(f.Section("store")),
-		Upstream: upstream(f.Section("upstream")),
-		Adapter:  adapter(f.Section("adapter")),
-		Log:      log(f.Section("log")),
-		Regions:  regions(f.Section("regions")),
+		Host:     parseHost(f.Section("host")),
+		Caller:   parseCaller(f.Section("caller")),
+		Peer:     parsePeer(f.Section("peer")),
+		Operator: parseOperator(f.Section("operator")),
+		Store:    parseStore(f.Section("store")),
+		Upstream: parseUpstream(f.Section("upstream")),
+		Adapter:  parseAdapter(f.Section("adapter")),
+		Log:      parseLog(f.Section("log")),
+		Regions:  parseRegions(f.Section("regions")),
 	}
-	f.Stray()
+	f.RejectKeysOutsideSections()
 	known := []string{"host", "caller", "peer", "operator", "store", "upstream", "adapter", "log", "regions"}
 	for _, n := range f.Sections() {
 		if !slices.Contains(known, n) {
-			f.Wrong(n, "", "an unknown section", "one of "+strings.Join(known, ", "))
+			f.AddInvalid(n, "", "an unknown section", "one of "+strings.Join(known, ", "))
 		}
 	}
 	return s, f.Err()
 }
 
-func regions(s *inifile.Section) map[fleet.DataCentre]fleet.Region {
+func parseRegions(s *inifile.Section) map[fleet.DataCentre]fleet.Region {
 	out := map[fleet.DataCentre]fleet.Region{}
 	for _, k := range s.Keys() {
 		out[fleet.DataCentre(k)] = fleet.Region(s.Required(k, "the name of its region"))
@@ -184,27 +185,27 @@
 	return out
 }
 
-func host(s *inifile.Section) Host {
-	defer s.Unknown()
+func parseHost(s *inifile.Section) Host {
+	defer s.RejectUnknownKeys()
 	return Host{
 		Name:       fleet.Host(s.Name("name")),
 		DataCentre: fleet.DataCentre(s.Name("data-centre")),
 	}
 }
 
-func caller(s *inifile.Section) Caller {
-	defer s.Unknown()
+func parseCaller(s *inifile.Section) Caller {
+	defer s.RejectUnknownKeys()
 	return Caller{
 		Address:        s.Address("address"),
 		MaxSessions:    s.Int("max-sessions", DefaultMaxSessions, 1, maxSessions),
-		MaxMessage:     s.Size("max-message", DefaultMaxMessage, smallestSize, largestSize),
+		MaxMessage:     s.Size("max-message", DefaultMaxMessage, minSize, maxSize),
 		StartupTimeout: s.Duration("startup-timeout", DefaultStartupTimeout, 100*time.Millisecond, time.Minute),
-		MaxUnread:      s.Size("max-unread", DefaultMaxUnread, smallestSize, largestSize),
+		MaxUnread:      s.Size("max-unread", DefaultMaxUnread, minSize, maxSize),
 	}
 }
 
-func peer(s *inifile.Section) Peer {
-	defer s.Unknown()
+func parsePeer(s *inifile.Section) Peer {
+	defer s.RejectUnknownKeys()
 	return Peer{
 		Address:    s.Address("address"),
 		SecretFile: s.String("secret-file", ""),
@@ -212,51 +213,52 @@
 	}
 }
 
-func operator(s *inifile.Section) Operator {
-	defer s.Unknown()
+func parseOperator(s *inifile.Section) Operator {
+	defer s.RejectUnknownKeys()
 	return Operator{Address: s.Address("address"), Pprof: s.Bool("pprof", false)}
 }
 
-func store(s *inifile.Section) Store {
-	defer s.Unknown()
+func parseStore(s *inifile.Section) Store {
+	defer s.RejectUnknownKeys()
 	e := s.Addresses("endpoints")
 	if len(e) == 0 {
-		s.Missing("endpoints", "a list of addresses, each "+inifile.AddressForm)
+		s.AddMissing("endpoints", "a list of addresses, each "+inifile.AddressFormat)
 	}
 	return Store{
 		Endpoints: e,
-		Prefix:    prefix(s),
-		HostList:  hostList(s),
+		Prefix:    parsePrefix(s),
+		HostList:  parseHostList(s),
 		Timeout:   s.Duration("timeout", DefaultStoreTimeout, 10*time.Millisecond, 30*time.Second),
 	}
 }
 
-func prefix(s *inifile.Section) string {
+func parsePrefix(s *inifile.Section) string {
 	p := s.String("prefix", DefaultPrefix)
 	if len(p) < 2 || p[0] != '/' || p[len(p)-1] != '/' {
-		s.Wrong("prefix", strconv.Quote(p), "a path between slashes, such as "+DefaultPrefix)
+		s.AddInvalid("prefix", strconv.Quote(p), "a path between slashes, such as "+DefaultPrefix)
 	}
 	return p
 }
 
-func hostList(s *inifile.Section) string {
+func parseHostList(s *inifile.Section) string {
 	k := s.String("host-list", "")
 	if k != "" && k[0] != '/' {
-		s.Wrong("host-list", strconv.Quote(k), "a key of the store, such as /platform/hosts")
+		s.AddInvalid("host-list", strconv.Quote(k), "a key of the store, such as /platform/hosts")
 	}
 	return k
 }
 
-func upstream(s *inifile.Section) Upstream {
-	defer s.Unknown()
+func parseUpstream(s *inifile.Section) Upstream {
+	defer s.RejectUnknownKeys()
 	return Upstream{User: s.String("user", DefaultUser), PasswordFile: s.String("password-file", "")}
 }
 
-// The bounds of an adapter's settings. DefaultPromotionLeast takes nothing for granted: an
-// order then waits until nothing proved before it counts any more.
+// The defaults and the limits of an adapter's settings.
 const (
-	DefaultGrace          = 6 * time.Second
-	DefaultRateWindow     = 5 * time.Second
+	DefaultGrace      = 6 * time.Second
+	DefaultRateWindow = 5 * time.Second
+	// DefaultPromotionLeast assumes nothing about the platform: the host then delays a
+	// promotion request until leases that were renewed before it are no longer valid.
 	DefaultPromotionLeast = 0 * time.Second
 	DefaultPromotionDelay = time.Second
 	DefaultMemory         = 256 << 20
@@ -265,41 +267,41 @@
 	DefaultColdOvershoot = 1.0
 	DefaultColdSlack     = 0
 
-	mostColdOvershoot = 100
-	mostColdSlack     = 10000
+	maxColdOvershoot = 100
+	maxColdSlack     = 10000
 
-	// mostCapacity is more cores than any host has.
-	mostCapacity = 1 << 10
+	// maxCapacity is in cores, more than any host has.
+	maxCapacity = 1 << 10
 
-	smallestMemory = 32 << 20
-	largestMemory  = 1 << 40
+	minMemory = 32 << 20
+	maxMemory = 1 << 40
 )
 
-func adapter(s *inifile.Section) Adapter {
-	defer s.Unknown()
+func parseAdapter(s *inifile.Section) Adapter {
+	defer s.RejectUnknownKeys()
 	a := Adapter{Kind: AdapterKind(s.OneOf("kind", string(AdapterNone), string(AdapterNone), string(AdapterPlatform)))}
-	a.Grace = s.Duration("grace", DefaultGrace, time.Second, time.Hour)
+	a.ShutdownTimeout = s.Duration("grace", DefaultGrace, time.Second, time.Hour)
 	a.RateWindow = s.Duration("rate-window", DefaultRateWindow, time.Second, time.Hour)
-	a.PromotionLeast = s.Duration("promotion-least", DefaultPromotionLeast, 0, time.Minute)
-	a.PromotionDelay = s.Duration("promotion-delay", DefaultPromotionDelay, a.PromotionLeast, time.Minute)
-	a.Memory = s.Size("memory", DefaultMemory, smallestMemory, largestMemory)
-	a.Capacity = fleet.Capacity(s.Float("capacity", 0, 0, mostCapacity))
-	a.Evacuate = s.Duration("evacuate", DefaultEvacuate, time.Second, time.Hour)
-	a.Cold = cold.Limit{
-		Overshoot: s.Float("cold-overshoot", DefaultColdOvershoot, 0, mostColdOvershoot),
-		Slack:     s.Int("cold-slack", DefaultColdSlack, 0, mostColdSlack),
+	a.MinPromotionTime = s.Duration("promotion-least", DefaultPromotionLeast, 0, time.Minute)
+	a.UsualPromotionTime = s.Duration("promotion-delay", DefaultPromotionDelay, a.MinPromotionTime, time.Minute)
+	a.Memory = s.Size("memory", DefaultMemory, minMemory, maxMemory)
+	a.Capacity = fleet.Capacity(s.Float("capacity", 0, 0, maxCapacity))
+	a.EvacuationTimeout = s.Duration("evacuate", DefaultEvacuate, time.Second, time.Hour)
+	a.ColdLimit = cold.Limit{
+		Overshoot: s.Float("cold-overshoot", DefaultColdOvershoot, 0, maxColdOvershoot),
+		Slack:     s.Int("cold-slack", DefaultColdSlack, 0, maxColdSlack),
 	}
 	if a.Kind == AdapterPlatform || s.Has("balancer") {
-		a.Balancer = s.Address("balancer")
+		a.BalancerAddress = s.Address("balancer")
 	}
 	if a.Kind == AdapterPlatform || s.Has("promotions") {
-		a.Promotions = s.Address("promotions")
+		a.PromotionsAddress = s.Address("promotions")
 	}
 	return a
 }
 
-func log(s *inifile.Section) Log {
-	defer s.Unknown()
+func parseLog(s *inifile.Section) Log {
+	defer s.RejectUnknownKeys()
 	return Log{Level: Level(s.OneOf("level", string(LevelInfo),
 		string(LevelDebug), string(LevelInfo), string(LevelWarn), string(LevelError)))}
 }
--- a/internal/experiment/rates/host.go
+++ b/internal/experiment/rates/host.go
@@ -74,15 +74,15 @@
 func (h *Host) boot() {
 	h.process = quota.Process{Host: h.name, Epoch: h.process.Epoch + 1}
 	h.doc, h.home, h.seat, h.claim = h.w.Doc, quota.Home{}, quota.Ownership{}, quota.Claim{}
-	h.witness = quota.Witness{Since: h.early()}
-	h.spender = quota.Spender{Host: h.name, Own: h.dc}
+	h.witness = quota.Witness{StartedAt: h.early()}
+	h.spender = quota.Spender{Host: h.name, OwnDataCentre: h.dc}
 	h.lease, h.waiters, h.dead = roster.Lease{}, nil, 0
 	h.target = map[fleet.DataCentre]int{}
 	h.roundEnds = 0
 	h.ticking = false
 	h.every(25*time.Millisecond, h.step)
 	h.every(500*time.Millisecond, h.keepSeat)
-	h.every(roster.RenewEvery, h.renew)
+	h.every(roster.RenewInterval, h.renew)
 }
 
 // every repeats f for the life of the process, starting somewhere in d.
--- a/io/forward/forward_test.go
+++ b/io/forward/forward_test.go
@@ -15,16 +15,16 @@
 	"skylarkdeal/io/forward"
 )
 
-// got is what a reader has told of.
-type got struct {
+// received holds what a reader has decoded.
+type received struct {
 	hosts    []fleet.Host
 	requests []relay.Forward
 	streams  []uint64
 	answers  []statement.Answer
 }
 
-func reader() (*forward.Reader, *got) {
-	g := &got{}
+func reader() (*forward.Reader, *received) {
+	g := &received{}
 	return &forward.Reader{
 		Hello:   func(h fleet.Host) { g.hosts = append(g.hosts, h) },
 		Request: func(f relay.Forward) { g.requests = append(g.requests, f) },
@@ -37,7 +37,7 @@
 func request() relay.Forward {
 	return relay.Forward{
 		Stream: 7, Service: "orders", Instance: "i-1", Account: "hotel", Open: true, Close: true,
-		Left: 800 * time.Millisecond, Wait: 200 * time.Millisecond,
+		Timeout: 800 * time.Millisecond, QueueWait: 200 * time.Millisecond,
 		Statements: []statement.Statement{
 			{ID: "a", Kind: statement.KindSet, Name: "v0", Value: "x y"},
 			{Kind: statement.KindPrepare, Name: "p", Definition: statement.Definition{Writes: true, Text: "q2c"}},
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestFramesComeAsTheyWereSent(t *testing.T) {
+func TestFramesArriveAsTheyWereSent(t *testing.T) {
 	c := qt.New(t)
 	a := statement.Answer{
 		Rows: []string{"one", ""}, Digest: "d", Code: statement.CodeBusy, Detail: "why", RetryAfter: 300 * time.Millisecond,
@@ -60,14 +60,14 @@
 	b = forward.AppendRequest(b, request())
 	b = forward.AppendReply(b, 7, a)
 	rapid.Check(t, func(t *rapid.T) {
-		// However the bytes are cut, the messages are the same.
+		// The messages are the same, however the bytes are split.
 		in, g := reader()
 		var waiting []byte
 		for rest := b; len(rest) > 0; {
 			n := rapid.IntRange(1, len(rest)).Draw(t, "part")
 			waiting, rest = append(waiting, rest[:n]...), rest[n:]
 			for {
-				used, err := in.Take(waiting)
+				used, err := in.Decode(waiting)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -86,13 +86,13 @@
 	})
 }
 
-// A peer sends a length that no frame has. The host must not wait for it all to come.
+// A peer sends a length that no frame has. The host must not buffer until all of it has arrived.
 func TestLongFrameIsRefused(t *testing.T) {
 	c := qt.New(t)
 	in, _ := reader()
-	_, err := in.Take(binary.BigEndian.AppendUint32(nil, 1<<30))
+	_, err := in.Decode(binary.BigEndian.AppendUint32(nil, 1<<30))
 	c.Assert(err, qt.ErrorMatches, "a frame is longer than 8 MiB")
-	_, err = in.Take([]byte{0, 0, 0, 0})
+	_, err = in.Decode([]byte{0, 0, 0, 0})
 	c.Assert(err, qt.ErrorMatches, "a frame without a message")
 }
 
@@ -101,6 +101,6 @@
 	f.Add([]byte{0, 0, 0, 2, 1, 1})
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		in, _ := reader()
-		_, _ = in.Take(b)
+		_, _ = in.Decode(b)
 	})
 }
--- a/io/forward/news_test.go
+++ b/io/forward/news_test.go
@@ -12,16 +12,16 @@
 	"skylarkdeal/io/registry"
 )
 
-func TestNewsOfTheStoreArriveAsTheyWereSent(t *testing.T) {
+func TestStoreUpdatesArriveAsTheyWereSent(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(0, 86707276482797)
 	want := forward.StoreUpdate{
 		EchoSent: at, EchoHeard: at.Add(time.Hour), Renewed: at.Add(time.Second),
 		Parts: forward.Parts{
-			follow.PartCatalog: {Version: 7, Read: at, HasBody: true, Body: []registry.Entry{
+			follow.PartCatalog: {Version: 7, ReadAt: at, HasBody: true, Body: []registry.Entry{
 				{Key: "catalog", Value: []byte{0xff, 0}, Revision: 7},
 			}},
-			follow.PartInstances: {Version: 1 << 63, Read: at},
+			follow.PartInstances: {Version: 1 << 63, ReadAt: at},
 		},
 		Centres: []fleet.DataCentre{"obihiro", "sapporo"},
 	}
@@ -35,11 +35,11 @@
 	b := forward.AppendFollow(forward.AppendStoreUpdate(nil, want), question)
 	b = forward.AppendStoreUpdate(b, forward.StoreUpdate{})
 	for len(b) > 0 {
-		// A frame that isn't complete is waited for.
-		n, err := r.Take(b[:len(b)-1])
+		// A frame that isn't complete isn't decoded.
+		n, err := r.Decode(b[:len(b)-1])
 		c.Assert(err, qt.IsNil)
 		if n == 0 {
-			n, err = r.Take(b)
+			n, err = r.Decode(b)
 			c.Assert(err, qt.IsNil)
 		}
 		b = b[n:]
@@ -50,13 +50,13 @@
 	c.Assert(asked, qt.DeepEquals, []forward.Follow{question})
 }
 
-func TestSignsOfLife(t *testing.T) {
+func TestPings(t *testing.T) {
 	c := qt.New(t)
 	var got []bool
 	r := forward.Reader{Ping: func(answer bool) { got = append(got, answer) }}
 	b := forward.AppendPing(forward.AppendPing(nil, false), true)
 	for len(b) > 0 {
-		n, err := r.Take(b)
+		n, err := r.Decode(b)
 		c.Assert(err, qt.IsNil)
 		b = b[n:]
 	}
--- a/io/holder/exchanges.go
+++ b/io/holder/exchanges.go
@@ -31,7 +31,7 @@
 	w.key = g.key
 	g.works[w.key] = w
 	g.byID[w.q.ID] = w
-	w.need = session.Needs(w.q, g.now)
+	w.need = session.NeedOf(w.q, g.now)
 	if w.read() && w.pin == nil {
 		g.budget.Earn()
 	}
