--- a/core/relay/warm_test.go
+++ b/core/relay/cold_test.go
@@ -16,8 +16,8 @@
 // host's.
 const coldRate = 20
 
-// chill has the instances of the service bear little while they are cold, and some of them be cold.
-func (w *world) chill(is ...fleet.Instance) {
+// setCold has the instances of the service bear little while they are cold, and some of them be cold.
+func (w *world) setCold(is ...fleet.Instance) {
 	w.revise(func(d *catalog.Catalog) {
 		s := d.Services[service]
 		s.ColdRate = coldRate
@@ -31,11 +31,11 @@
 }
 
 // Guards against callers who return all at once to an instance that has just started.
-func TestColdReplicaIsSpared(t *testing.T) {
+func TestColdReplicaStaysBelowItsRate(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.open("rush", "key-1").do(statement.KindRead, "", "for the sample")
-	w.chill("b")
+	w.setCold("b")
 	for range 100 {
 		x := w.open("stock", "key-1")
 		x.do(statement.KindRead, "", "item")
@@ -49,7 +49,7 @@
 func TestColdPrimaryGetsItsRate(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	w.chill("a")
+	w.setCold("a")
 	began, ran := w.now, len(w.instances["a"].ran)
 	var callers []*caller
 	for w.now.Sub(began) < 3*time.Second {
@@ -64,24 +64,24 @@
 			served++
 		}
 	}
-	got := len(w.instances["a"].sent(ran))
+	got := len(w.instances["a"].ranSince(ran))
 	c.Assert(got <= 3*coldRate/2+1, qt.IsTrue, qt.Commentf("%d", got))
 	c.Assert(served > coldRate, qt.IsTrue, qt.Commentf("%d", served))
 }
 
 // Guards against two hosts that both send all that a cold instance bears: one that hears less than
 // half of its data centre sends nothing.
-func TestHostThatHearsFewSparesColdInstances(t *testing.T) {
+func TestHostThatHearsFewHostsSendsNothingToColdInstances(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	w.chill("a")
+	w.setCold("a")
 	w.relay.SetDataCentreSizes(map[fleet.DataCentre]int{"obihiro": 5})
 	ran := len(w.instances["a"].ran)
 	x := w.open("rush", "key-1")
 	x.do(statement.KindWrite, "", "item data")
 	w.pass(time.Second, true)
 	c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
-	c.Assert(w.instances["a"].sent(ran), qt.HasLen, 0)
+	c.Assert(w.instances["a"].ranSince(ran), qt.HasLen, 0)
 }
 
 // Guards against hosts that each send by their own connections what a cold instance bears of all.
@@ -100,7 +100,7 @@
 		}
 	}
 	c.Assert(direct, qt.Equals, 3)
-	w.chill("a", "b", "c")
+	w.setCold("a", "b", "c")
 	over := 0
 	for _, i := range w.relay.State().Groups[0].Instances {
 		if i.Holder != "" {
@@ -112,10 +112,10 @@
 
 // Guards against an instance that has restarted under its name and is flooded before the store
 // tells that it is cold.
-func TestInstanceThatIsBackCountsAsColdUntilTheListTells(t *testing.T) {
+func TestRestartedInstanceCountsAsColdUntilTheListIsRead(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	w.chill()
+	w.setCold()
 	w.cut(w.instances["a"])
 	w.pass(200*time.Millisecond, true)
 	ran := len(w.instances["a"].ran)
@@ -126,12 +126,12 @@
 		}
 	}
 	flood()
-	c.Assert(len(w.instances["a"].sent(ran)) <= coldRate/2, qt.IsTrue)
+	c.Assert(len(w.instances["a"].ranSince(ran)) <= coldRate/2, qt.IsTrue)
 	w.pass(2*time.Second, true)
 	w.list()
 	ran = len(w.instances["a"].ran)
 	flood()
-	c.Assert(len(w.instances["a"].sent(ran)) >= 45, qt.IsTrue)
+	c.Assert(len(w.instances["a"].ranSince(ran)) >= 45, qt.IsTrue)
 }
 
 // Guards against a promotion of an instance that is slow for seconds where another has all that it
@@ -140,7 +140,7 @@
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.relay.SetCoordinator(true)
-	w.chill("b")
+	w.setCold("b")
 	w.list("a")
 	w.pass(500*time.Millisecond, true)
 	c.Assert(w.orders, qt.HasLen, 1)
--- a/core/relay/evacuation_test.go
+++ b/core/relay/evacuation_test.go
@@ -24,11 +24,11 @@
 	return w
 }
 
-// sent returns what an instance has run after from.
-func (n *node) sent(from int) []string { return n.ran[from:] }
+// ranSince returns what an instance has run after from.
+func (n *node) ranSince(from int) []string { return n.ran[from:] }
 
-// forward has another host have a statement run here, and returns the answers.
-func (w *world) forward(i fleet.Instance, q statement.Statement) []statement.Answer {
+// handleForward has another host have a statement run here, and returns the answers.
+func (w *world) handleForward(i fleet.Instance, q statement.Statement) []statement.Answer {
 	var got []statement.Answer
 	w.relay.HandleForward(1, relay.Forward{
 		Stream: 1, Service: service, Instance: i, Account: "hotel", Left: time.Second, Open: true, Close: true,
@@ -50,7 +50,7 @@
 		w.pass(20*time.Millisecond, true)
 		c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 	}
-	c.Assert(w.instances["b"].sent(before), qt.HasLen, 0)
+	c.Assert(w.instances["b"].ranSince(before), qt.HasLen, 0)
 }
 
 // Guards against a primary that stays in an evacuated data centre because it is well.
@@ -80,7 +80,7 @@
 	x.do(statement.KindWrite, "", "item data")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
 	c.Assert(x.last().RetryAfter > 0, qt.IsTrue)
-	c.Assert(w.instances["a"].sent(before), qt.HasLen, 0)
+	c.Assert(w.instances["a"].ranSince(before), qt.HasLen, 0)
 }
 
 // Guards against a transaction that holds on to an instance in an evacuated data centre: neither its
@@ -101,23 +101,23 @@
 	w.pass(200*time.Millisecond, true)
 	x.do(statement.KindCommit, "", "")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeAborted)
-	c.Assert(w.instances["a"].sent(before), qt.HasLen, 0)
+	c.Assert(w.instances["a"].ranSince(before), qt.HasLen, 0)
 }
 
 // Guards against a host that runs for another one what that one, which doesn't know of the
 // evacuation yet, has sent.
-func TestHolderTurnsAwayWhatIsForAnEvacuatedDataCentre(t *testing.T) {
+func TestHolderRejectsForwardsToAnEvacuatedDataCentre(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
 	w.evacuate("sapporo")
-	got := w.forward("b", statement.Statement{ID: "f1", Kind: statement.KindRead, Text: "item"})
+	got := w.handleForward("b", statement.Statement{ID: "f1", Kind: statement.KindRead, Text: "item"})
 	c.Assert(got, qt.HasLen, 1)
 	c.Assert(got[0].Code, qt.Equals, statement.CodeBusy)
 	c.Assert(w.count("f1"), qt.Equals, 0)
 }
 
 // Guards against an evacuation that is never over, or is undone by an older catalog.
-func TestEvacuationEndsWhenItIsTakenBack(t *testing.T) {
+func TestWritesResumeOnceTheEvacuationIsRevoked(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
 	old := w.laid
@@ -147,7 +147,7 @@
 
 // Guards against a host that leaves the rotation, or gives orders in circles, when every data centre
 // is evacuated, one of them unknown.
-func TestEvacuationOfAllDataCentresRefusesEverythingTruly(t *testing.T) {
+func TestEvacuationOfAllDataCentresRefusesEveryStatement(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
 	w.relay.SetCoordinator(true)
@@ -165,7 +165,7 @@
 		c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
 	}
 	for n, i := range w.instances {
-		c.Assert(i.sent(before[string(n)]), qt.HasLen, 0)
+		c.Assert(i.ranSince(before[string(n)]), qt.HasLen, 0)
 	}
 }
 
--- a/core/relay/fleet_test.go
+++ b/core/relay/fleet_test.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	strong fleet.Capacity = 0.8
-	weak   fleet.Capacity = 0.2
-	// strongEach is how many strong hosts each data centre of a large fleet has.
-	strongEach = 3
+	highCapacity fleet.Capacity = 0.8
+	lowCapacity   fleet.Capacity = 0.2
+	// highCapacityPerDataCentre is how many strong hosts each data centre of a large fleet has.
+	highCapacityPerDataCentre = 3
 )
 
 // fleetSizes are those that a host's cost is compared at.
@@ -31,17 +31,17 @@
 		out[h] = relay.Peer{
 			Host:       fleet.Host(fmt.Sprintf("h%d", h)),
 			DataCentre: fleet.DataCentre(fmt.Sprintf("dc%d", h%5)),
-			Capacity:   weak, Send: func(relay.Forward) {},
+			Capacity:   lowCapacity, Send: func(relay.Forward) {},
 		}
-		if h < 5*strongEach {
-			out[h].Capacity = strong
+		if h < 5*highCapacityPerDataCentre {
+			out[h].Capacity = highCapacity
 		}
 	}
 	return out
 }
 
-// join returns the relay of one host of a fleet, before many groups of three instances.
-func join(c *qt.C, hosts []relay.Peer, n, groups int) *world {
+// newFleetWorld returns the relay of one host of a fleet, before many groups of three instances.
+func newFleetWorld(c *qt.C, hosts []relay.Peer, n, groups int) *world {
 	w := worldOf(c, hosts[n], time.Minute)
 	var is []catalog.Instance
 	for g := range groups {
@@ -59,8 +59,8 @@
 	return w
 }
 
-// holders returns the host over which a host uses each instance.
-func (w *world) holders(self fleet.Host) map[fleet.Instance]fleet.Host {
+// holderByInstance returns the host over which a host uses each instance.
+func (w *world) holderByInstance(self fleet.Host) map[fleet.Instance]fleet.Host {
 	out := map[fleet.Instance]fleet.Host{}
 	for _, g := range w.relay.State().Groups {
 		if g.Service == service {
@@ -84,14 +84,14 @@
 		hosts := fleetOf(n)
 		var agreed map[fleet.Instance]fleet.Host
 		for h := 0; h < n; h += max(n/20, 1) {
-			w := join(c, hosts, h, groups)
-			got := w.holders(hosts[h].Host)
+			w := newFleetWorld(c, hosts, h, groups)
+			got := w.holderByInstance(hosts[h].Host)
 			if agreed == nil {
 				agreed = got
 			}
 			c.Assert(got, qt.DeepEquals, agreed)
 			// The world has three more instances, where no host is.
-			c.Assert(len(w.relay.Holders()) <= 3*strongEach+3, qt.IsTrue,
+			c.Assert(len(w.relay.Holders()) <= 3*highCapacityPerDataCentre+3, qt.IsTrue,
 				qt.Commentf("%d links of %d hosts", len(w.relay.Holders()), n))
 		}
 	}
@@ -99,7 +99,7 @@
 
 // Guards against callers who wait for a small host that holds a busy instance: its processor is
 // taken by what the whole fleet sends through it.
-func TestNoHolderIsTakenUpByItsInstances(t *testing.T) {
+func TestLoadOfHoldersFitsTheirCapacity(t *testing.T) {
 	c := qt.New(t)
 	const (
 		groups = 20
@@ -116,11 +116,11 @@
 			of[h.Host] = h.Capacity
 		}
 		work := map[fleet.Host]float64{}
-		for _, h := range join(c, hosts, 0, groups).holders(hosts[0].Host) {
+		for _, h := range newFleetWorld(c, hosts, 0, groups).holderByInstance(hosts[0].Host) {
 			work[h] += statements * holderWork
 		}
 		for h, cores := range work {
-			c.Check(of[h], qt.Equals, strong, qt.Commentf("%s of %d hosts", h, n))
+			c.Check(of[h], qt.Equals, highCapacity, qt.Commentf("%s of %d hosts", h, n))
 			c.Check(cores/float64(of[h]) < mostOfCapacity, qt.IsTrue, qt.Commentf("%s: %g cores", h, cores))
 		}
 	}
@@ -128,13 +128,13 @@
 
 // Guards against an instance whose connections are used up by hosts that look whether they reach
 // it, as all have heard that one doesn't.
-func TestDoubtIsLookedAtByFewHosts(t *testing.T) {
+func TestFewHostsProbeASuspectedInstance(t *testing.T) {
 	c := qt.New(t)
 	for _, n := range []int{300, 920} {
 		hosts := fleetOf(n)
 		dials := 0
 		for h := 1; h < n; h++ {
-			w := join(c, hosts, h, 0)
+			w := newFleetWorld(c, hosts, h, 0)
 			w.now = w.now.Add(time.Second)
 			w.relay.AddReachability(hosts[0].Host, []fleet.Instance{"b"}, nil)
 			dials += w.instances["b"].dialled
@@ -145,7 +145,7 @@
 
 // Guards against a start at which each host takes itself for the holder of an instance whose holders
 // it doesn't hear yet. Over those that it hears it serves its callers.
-func TestHostThatHearsFewMakesNoConnections(t *testing.T) {
+func TestHostWithIncompletePeersOpensNoConnections(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
 	w.relay.SetHostCount(300)
@@ -156,7 +156,7 @@
 	}
 	sent := 0
 	w.relay.SetPeers([]relay.Peer{{
-		Host: "h2", DataCentre: "obihiro", Capacity: strong, Send: func(relay.Forward) { sent++ },
+		Host: "h2", DataCentre: "obihiro", Capacity: highCapacity, Send: func(relay.Forward) { sent++ },
 	}}, 0)
 	w.pass(100*time.Millisecond, true)
 	c.Check(sent > 0, qt.IsTrue)
@@ -168,7 +168,7 @@
 
 // Guards against a start at which no host hears another yet and each takes some connections: all
 // instances were full, and turned away the hosts that were to hold them.
-func TestHostsThatHearNobodyLeaveRoom(t *testing.T) {
+func TestHostWithoutPeersLeavesConnectionsFree(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
 	w.relay.SetHostCount(12)
@@ -188,7 +188,7 @@
 	c := qt.New(b)
 	hosts := fleetOf(300)
 	heard := slices.DeleteFunc(slices.Clone(hosts), func(p relay.Peer) bool { return p.DataCentre == "dc0" })
-	w := join(c, hosts, 1, 20)
+	w := newFleetWorld(c, hosts, 1, 20)
 	for n := range b.N {
 		heard[n%len(heard)].Send = nil
 		w.relay.SetPeers(slices.Clone(heard), 60)
@@ -198,9 +198,9 @@
 }
 
 // Guards against hundreds of hosts that all tick quickly while one group has no primary.
-func TestHostThatOnlyForwardsRestsWhileAGroupHasNoPrimary(t *testing.T) {
+func TestForwardingHostIsIdleWhileAGroupHasNoPrimary(t *testing.T) {
 	c := qt.New(t)
-	w := join(c, fleetOf(300), 50, 1)
+	w := newFleetWorld(c, fleetOf(300), 50, 1)
 	c.Assert(w.relay.HasWaiting(), qt.IsFalse)
 	w.relay.SetCoordinator(true)
 	c.Assert(w.relay.HasWaiting(), qt.IsTrue)
--- a/core/relay/forward_test.go
+++ b/core/relay/forward_test.go
@@ -98,7 +98,7 @@
 // before for 3 s and have room for one from each host: accounts took turns on it, each by a
 // new connection, and one transaction that paused held up all others of the host. Until the
 // old ones are gone one host holds what there is, and the others forward to it.
-func TestYoungHostsShareOneHolder(t *testing.T) {
+func TestRecentlyStartedHostsShareOneHolder(t *testing.T) {
 	c := qt.New(t)
 	w := newYoungWorld(c).settled()
 	w.relay.SetHostCount(2)
@@ -125,7 +125,7 @@
 // Another host has a transaction begun here on a replica that lacks the point which it needs.
 // The host that asked chooses the next instance; this one tried the same replica five more
 // times in as many round trips, while reads that it could serve waited.
-func TestGuestThatIsTurnedAwayIsToldAtOnce(t *testing.T) {
+func TestForwardedTransactionIsRejectedAtOnceByALaggingReplica(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	var got []statement.Answer
@@ -145,7 +145,7 @@
 
 // An instance breaks off one connection in five instead of answering. It is there all the
 // same: the next connection to it is made at once, not after a pause.
-func TestBrokenConnectionToALivelyInstanceIsReplacedAtOnce(t *testing.T) {
+func TestBrokenConnectionToARespondingInstanceIsReplacedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	x, y := w.open("rush", "key-1"), w.open("rush", "key-1")
@@ -163,7 +163,7 @@
 
 // An operation is forwarded when it has nearly used up its time to wait, and the holder has no
 // room for it. Its caller is told to come back then, not when its route's time is over.
-func TestForwardedOperationDoesNotWaitBeyondItsTime(t *testing.T) {
+func TestForwardedOperationDoesNotWaitBeyondItsLimit(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	var got []statement.Answer
--- a/core/relay/history_test.go
+++ b/core/relay/history_test.go
@@ -12,12 +12,12 @@
 	"skylarkdeal/core/statement"
 )
 
-// toSuccessor is the order under which b is to lead after a, in term 2.
-var toSuccessor = leader.Record{Service: service, Term: 2, Primary: "b", Former: "a", Revision: 7}
+// promotionOfB is the order under which b is to lead after a, in term 2.
+var promotionOfB = leader.Record{Service: service, Term: 2, Primary: "b", Former: "a", Revision: 7}
 
-// acquainted returns a world whose relay has a point of the primary a, and connections to all
+// newConnectedWorld returns a world whose relay has a point of the primary a, and connections to all
 // instances. Of the replicas it prefers c, which is nearer.
-func acquainted(c *qt.C) *world {
+func newConnectedWorld(c *qt.C) *world {
 	w := newWorld(c).settled()
 	w.open("rush", "key-1").do(statement.KindRead, "", "for the sample")
 	for _, busy := range []fleet.Instance{"a", "b", "c"} {
@@ -40,16 +40,16 @@
 	return w
 }
 
-// lateWord returns a world in which a is lost and b, a late replica, has just begun to lead, and
+// newLateAnswerWorld returns a world in which a is lost and b, a late replica, has just begun to lead, and
 // what delivers an answer that b gave before.
-func lateWord(c *qt.C) (*world, func()) {
-	w := acquainted(c)
+func newLateAnswerWorld(c *qt.C) (*world, func()) {
+	w := newConnectedWorld(c)
 	w.instances["a"].point.Index = 9
 	w.lose("a")
 	w.pass(1900*time.Millisecond, true)
 	b := w.instances["b"]
 	b.hold = true
-	w.relay.AddRecord(toSuccessor)
+	w.relay.AddRecord(promotionOfB)
 	w.pass(80*time.Millisecond, true)
 	c.Assert(b.pending, qt.HasLen, 2, qt.Commentf("an answer, and a second connection"))
 	asReplica, connected := b.pending[0], b.pending[1]
@@ -67,9 +67,9 @@
 	return b
 }
 
-// reads has a new session of a database read once and returns how often each instance has run
+// readOnce has a new session of a database read once and returns how often each instance has run
 // it by the end of a wait.
-func (w *world) reads(d catalog.Database, wait time.Duration, renewed bool) (map[fleet.Instance]int, *caller) {
+func (w *world) readOnce(d catalog.Database, wait time.Duration, renewed bool) (map[fleet.Instance]int, *caller) {
 	before := map[fleet.Instance]int{}
 	for n, i := range w.instances {
 		before[n] = len(i.ran)
@@ -89,24 +89,24 @@
 // leads, its log ends where c's does, in the old term, and c has not heard of the change: its
 // log is still that of the old primary, and lacks the withdrawal. The cause: a point of the old
 // term covers nothing of the new one. A replica that is asked says which term it is in.
-func TestReplicaIsReadOnceItIsInTheTermOfTheReign(t *testing.T) {
+func TestReplicaIsReadOnlyOnceItHasJoinedTheNewTerm(t *testing.T) {
 	c := qt.New(t)
-	w := acquainted(c)
+	w := newConnectedWorld(c)
 	w.instances["a"].point.Index = 6
 	w.lose("a")
-	w.relay.AddRecord(toSuccessor)
+	w.relay.AddRecord(promotionOfB)
 	w.pass(1900*time.Millisecond, true)
 	w.promote()
-	_, first := w.reads("rush", 100*time.Millisecond, true)
+	_, first := w.readOnce("rush", 100*time.Millisecond, true)
 	c.Assert(first.last().Code, qt.Equals, statement.CodeNone)
-	ran, x := w.reads("stock", 100*time.Millisecond, true)
+	ran, x := w.readOnce("stock", 100*time.Millisecond, true)
 	c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 	c.Assert(ran["c"], qt.Equals, 0, qt.Commentf("c has not joined the new reign"))
 	c.Assert(ran["b"], qt.Equals, 1)
 
 	w.instances["c"].term = 2
 	w.pass(200*time.Millisecond, true)
-	ran, _ = w.reads("stock", 100*time.Millisecond, true)
+	ran, _ = w.readOnce("stock", 100*time.Millisecond, true)
 	c.Assert(ran["c"], qt.Equals, 1, qt.Commentf("c has joined it, and spares the primary the read"))
 }
 
@@ -116,12 +116,12 @@
 // the first is below what b leads with, and c, whose log is as short, is taken for fresh. The
 // cause: what counts is when an answer is read, not when it was asked for. The log of a late
 // replica ends far before what it has received, and at that when it is promoted.
-func TestPointThatWasGivenBeforeTheReignIsNone(t *testing.T) {
+func TestLogPositionFromBeforeThePromotionIsIgnored(t *testing.T) {
 	c := qt.New(t)
-	w, late := lateWord(c)
+	w, late := newLateAnswerWorld(c)
 	w.pass(70*time.Millisecond, true)
 	late()
-	ran, x := w.reads("stock", 100*time.Millisecond, true)
+	ran, x := w.readOnce("stock", 100*time.Millisecond, true)
 	c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 	c.Assert(ran["c"], qt.Equals, 0, qt.Commentf("its log ends at %v", w.instances["c"].point))
 	c.Assert(ran["b"], qt.Equals, 1)
@@ -132,13 +132,13 @@
 // primary. The second asks the new one every 50 ms whether it leads, and until then goes on with
 // the former, where the read runs, whatever becomes of its answer. The cause: that the former leads
 // was proved for answers, after the run, and for no read before it.
-func TestReadDoesNotRunOnTheFormerPrimaryUnasked(t *testing.T) {
+func TestReadDoesNotRunOnAnUnverifiedFormerPrimary(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	w.relay.AddRecord(toSuccessor)
+	w.relay.AddRecord(promotionOfB)
 	w.pass(1050*time.Millisecond, true)
 	w.promote().point = fleet.LogPosition{Term: 2, Index: 6}
-	ran, x := w.reads("rush", 100*time.Millisecond, true)
+	ran, x := w.readOnce("rush", 100*time.Millisecond, true)
 	c.Assert(ran["a"], qt.Equals, 0, qt.Commentf("a lacks what b has acknowledged"))
 	c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 	c.Assert(ran["b"], qt.Equals, 1)
@@ -147,7 +147,7 @@
 // A host has lost the store, and the primary that it knows is replaced. It reaches all
 // instances: one question to each shows that b leads, but it was put after the read had run on a,
 // which lacks what b has acknowledged by then. The cause is that of the test before.
-func TestReadDoesNotRunOnAPrimaryThatNothingVouchesFor(t *testing.T) {
+func TestReadDoesNotRunOnAnUnverifiedPrimaryWithoutTheStore(t *testing.T) {
 	for _, d := range []catalog.Database{"rush", "stock", "standing"} {
 		t.Run(string(d), func(t *testing.T) {
 			c := qt.New(t)
@@ -156,7 +156,7 @@
 			w.pass(4*time.Second, false)
 			w.promote().point = fleet.LogPosition{Term: 2, Index: 6}
 			w.pass(3*time.Second, false)
-			ran, _ := w.reads(d, 100*time.Millisecond, false)
+			ran, _ := w.readOnce(d, 100*time.Millisecond, false)
 			c.Assert(ran["a"], qt.Equals, 0, qt.Commentf("a lacks what b has acknowledged 3 s before"))
 		})
 	}
@@ -168,13 +168,13 @@
 	for _, d := range []catalog.Database{"rush", "stock", "standing"} {
 		t.Run(string(d), func(t *testing.T) {
 			c := qt.New(t)
-			w := acquainted(c)
+			w := newConnectedWorld(c)
 			w.pass(4*time.Second, false)
-			ran, x := w.reads(d, 100*time.Millisecond, false)
+			ran, x := w.readOnce(d, 100*time.Millisecond, false)
 			c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 			c.Assert(ran["a"]+ran["b"]+ran["c"], qt.Equals, 1)
 			w.pass(time.Second, false)
-			ran, x = w.reads(d, 100*time.Millisecond, false)
+			ran, x = w.readOnce(d, 100*time.Millisecond, false)
 			c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 			c.Assert(ran["a"] == 0, qt.Equals, d != "rush")
 		})
--- a/core/relay/secluded_test.go
+++ b/core/relay/isolated_test.go
@@ -9,8 +9,8 @@
 	"skylarkdeal/core/statement"
 )
 
-// newFarWorld returns a world whose instances are all in another data centre.
-func newFarWorld(c *qt.C) *world {
+// newRemoteWorld returns a world whose instances are all in another data centre.
+func newRemoteWorld(c *qt.C) *world {
 	w := newWorld(c)
 	for _, n := range w.instances {
 		n.far = true
@@ -19,8 +19,8 @@
 	return w.settled()
 }
 
-// seclude lets time go by while no host elsewhere is heard.
-func (w *world) seclude(d time.Duration, renewed bool) {
+// passIsolated lets time go by while no host elsewhere is heard.
+func (w *world) passIsolated(d time.Duration, renewed bool) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.relay.SetIsolated(true)
 		w.pass(10*time.Millisecond, renewed)
@@ -29,14 +29,14 @@
 
 // Guards against callers of a data centre that is cut off, whose statements each wait for their time
 // on instances elsewhere, and whom the balancer sends there for another second.
-func TestCutDataCentreIsLeftAtOnce(t *testing.T) {
+func TestIsolatedDataCentreRefusesAtOnce(t *testing.T) {
 	c := qt.New(t)
-	w := newFarWorld(c)
+	w := newRemoteWorld(c)
 	c.Assert(w.relay.Ready(), qt.IsTrue)
 	for _, n := range w.instances {
 		n.hold = true
 	}
-	w.seclude(600*time.Millisecond, false)
+	w.passIsolated(600*time.Millisecond, false)
 	c.Assert(w.relay.Ready(), qt.IsFalse)
 	x := w.open("rush", "key-1")
 	x.do(statement.KindRead, "", "item")
@@ -46,28 +46,28 @@
 
 // Guards against taking one silence for a cut: reports are lost while the store answers, and the
 // store is lost while other hosts are heard.
-func TestOneSilenceIsNoCut(t *testing.T) {
+func TestLossOfReportsOrOfTheStoreAloneIsNoIsolation(t *testing.T) {
 	c := qt.New(t)
-	for _, secluded := range []bool{true, false} {
-		w := newFarWorld(c)
-		if secluded {
-			w.seclude(600*time.Millisecond, true)
+	for _, isolated := range []bool{true, false} {
+		w := newRemoteWorld(c)
+		if isolated {
+			w.passIsolated(600*time.Millisecond, true)
 		} else {
 			w.pass(600*time.Millisecond, false)
 		}
 		c.Assert(w.relay.Ready(), qt.IsTrue)
 		x := w.open("rush", "key-1")
 		x.do(statement.KindRead, "", "item")
-		w.pass(20*time.Millisecond, secluded)
+		w.pass(20*time.Millisecond, isolated)
 		c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 	}
 }
 
 // Guards against sending callers away from a data centre that is cut off and has all they need.
-func TestCutDataCentreThatHasThePrimaryServes(t *testing.T) {
+func TestIsolatedDataCentreWithThePrimaryServes(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	w.seclude(600*time.Millisecond, false)
+	w.passIsolated(600*time.Millisecond, false)
 	c.Assert(w.relay.Ready(), qt.IsTrue)
 	x := w.open("rush", "key-1")
 	x.do(statement.KindRead, "", "item")
@@ -77,12 +77,12 @@
 
 // Guards against taking lost reports for a cut while the store is down: an instance elsewhere still
 // answers.
-func TestAnswerFromElsewhereIsNoCut(t *testing.T) {
+func TestAnswerFromAnotherDataCentreIsNoIsolation(t *testing.T) {
 	c := qt.New(t)
-	w := newFarWorld(c)
+	w := newRemoteWorld(c)
 	for range 12 {
 		w.open("rush", "key-1").do(statement.KindRead, "", "item")
-		w.seclude(50*time.Millisecond, false)
+		w.passIsolated(50*time.Millisecond, false)
 	}
 	c.Assert(w.relay.Ready(), qt.IsTrue)
 }
--- a/core/relay/primary_test.go
+++ b/core/relay/primary_test.go
@@ -31,7 +31,7 @@
 // As above, but the promoted instance has written nothing yet: its log still ends in the
 // old term, as a promotion writes no entry. Only its own word tells that it leads. A
 // write was acknowledged and lost when the position was taken for that.
-func TestPositionOfAPromotedInstanceProvesNothing(t *testing.T) {
+func TestPositionOfAPromotedInstanceVerifiesNothing(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.open("stock", "key-1").do(statement.KindRead, "", "warm up")
@@ -47,7 +47,7 @@
 }
 
 // With the store away the answers of the primary are good as long as the others say so.
-func TestWritesAreProvedWithoutTheStore(t *testing.T) {
+func TestWritesAreVerifiedWithoutTheStore(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	x := w.open("rush", "key-1")
@@ -60,7 +60,7 @@
 // Without the store, with one instance out of reach, nobody can tell whether that one
 // leads by now. A write that was sent would stay in doubt, so none is sent: its caller is
 // told that it was not run, and when to come back.
-func TestUnprovableWriteIsNotSent(t *testing.T) {
+func TestUnverifiableWriteIsNotSent(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.instances["c"].silent = true
@@ -78,14 +78,14 @@
 
 // A primary goes dark: it resets nothing. Statements on it must not wait for their time
 // limit, and new ones are refused, unrun, as soon as it is known.
-func TestDarkPrimaryIsNoticed(t *testing.T) {
+func TestSilentPrimaryIsDetected(t *testing.T) {
 	for _, key := range []catalog.Key{"key-1", "key-3"} {
 		// One of the accounts finds the connection of the first question at rest.
-		darkPrimary(qt.New(t), key)
+		checkSilentPrimary(qt.New(t), key)
 	}
 }
 
-func darkPrimary(c *qt.C, key catalog.Key) {
+func checkSilentPrimary(c *qt.C, key catalog.Key) {
 	w := newWorld(c).settled()
 	x := w.open("rush", key)
 	x.do(statement.KindRead, "", "item")
@@ -103,7 +103,7 @@
 
 // A link breaks between this host, which has the duty, and the primary. The others reach
 // it and say so: one bad link replaces no primary.
-func TestDutyDoesNotReplaceAPrimaryThatOthersReach(t *testing.T) {
+func TestCoordinatorKeepsAPrimaryThatOthersReach(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.relay.SetCoordinator(true)
@@ -125,7 +125,7 @@
 // The primary goes dark. Only its holder has connections to it; all others use it over
 // that host, and notice nothing by themselves. The holder's doubt has to do, once the
 // others had the time to look: it took 8 s, until the instance was off the list.
-func TestDutyReplacesAPrimaryThatOnlyItsHolderMisses(t *testing.T) {
+func TestCoordinatorReplacesAPrimaryThatOnlyItsHolderSuspects(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.relay.SetCoordinator(true)
@@ -146,7 +146,7 @@
 
 // Another host doubts an instance that this one has not used for long. It looks for
 // itself, and can then say that it reaches it.
-func TestHostLooksForItselfWhenAnotherDoubts(t *testing.T) {
+func TestHostProbesAnInstanceThatAnotherSuspects(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.pass(2*time.Second, true)
@@ -159,7 +159,7 @@
 // A data centre was cut off and is back. Its hosts report again at once, still doubting
 // the primary that was made meanwhile: they have not tried it since. Their word replaced
 // a healthy primary, and all writes stood still for a second.
-func TestDoubtsOfAHostThatWasCutOffDontCount(t *testing.T) {
+func TestSuspicionsOfAHostThatWasCutOffDontCount(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.relay.SetCoordinator(true)
--- a/core/relay/homes_test.go
+++ b/core/relay/regions_test.go
@@ -12,8 +12,8 @@
 	"skylarkdeal/core/statement"
 )
 
-// confine has the reads of one database, or one account, enter some regions only.
-func (w *world) confine(db catalog.Database, a fleet.Account, regions ...fleet.Region) {
+// allowRegions has the reads of one database, or one account, enter some regions only.
+func (w *world) allowRegions(db catalog.Database, a fleet.Account, regions ...fleet.Region) {
 	h := catalog.AllowedRegions{}
 	for _, r := range regions {
 		h[r] = struct{}{}
@@ -38,32 +38,32 @@
 
 // Guards against data that leaves the regions which its database or its account is allowed.
 func TestStatementsStayInTheirRegions(t *testing.T) {
-	for _, way := range []string{"database", "account"} {
+	for _, restricted := range []string{"database", "account"} {
 		c := qt.New(t)
 		w := newSplitWorld(c)
-		if way == "database" {
-			w.confine("stock", "", "honshu")
+		if restricted == "database" {
+			w.allowRegions("stock", "", "honshu")
 		} else {
-			w.confine("", "hotel", "honshu")
+			w.allowRegions("", "hotel", "honshu")
 		}
 		before := len(w.instances["c"].ran)
 		for range 20 {
 			x := w.open("stock", "key-1")
 			x.do(statement.KindRead, "", "item")
 			w.pass(20*time.Millisecond, true)
-			c.Assert(x.last().Code, qt.Equals, statement.CodeNone, qt.Commentf("%s", way))
+			c.Assert(x.last().Code, qt.Equals, statement.CodeNone, qt.Commentf("%s", restricted))
 		}
-		c.Assert(w.instances["c"].sent(before), qt.HasLen, 0, qt.Commentf("%s", way))
+		c.Assert(w.instances["c"].ranSince(before), qt.HasLen, 0, qt.Commentf("%s", restricted))
 	}
 }
 
 // Guards against a statement that waits for its time limit, or goes abroad, where the regions of its
 // database and its account have no instance in common.
-func TestStatementWithoutARegionIsRefusedAtOnce(t *testing.T) {
+func TestStatementWithoutACommonRegionIsRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
-	w.confine("stock", "", "honshu")
-	w.confine("", "hotel", "hokkaido")
+	w.allowRegions("stock", "", "honshu")
+	w.allowRegions("", "hotel", "hokkaido")
 	x := w.open("stock", "key-1")
 	x.do(statement.KindRead, "", "item")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
@@ -75,20 +75,20 @@
 }
 
 // Guards against a write that is sent to a primary abroad.
-func TestWriteIsRefusedWhileThePrimaryIsAbroad(t *testing.T) {
+func TestWriteIsRefusedWhileThePrimaryIsOutsideItsRegions(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
-	w.confine("rush", "", "hokkaido")
+	w.allowRegions("rush", "", "hokkaido")
 	before := len(w.instances["a"].ran)
 	x := w.open("rush", "key-1")
 	x.do(statement.KindWrite, "", "item data")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
-	c.Assert(w.instances["a"].sent(before), qt.HasLen, 0)
+	c.Assert(w.instances["a"].ranSince(before), qt.HasLen, 0)
 }
 
 // Guards against a statement whose text is told to a host abroad, because that one holds the
 // connections.
-func TestStatementIsNotForwardedAbroad(t *testing.T) {
+func TestStatementIsNotForwardedOutsideItsRegions(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
 	w.relay.SetHostCount(12)
@@ -102,7 +102,7 @@
 			}
 		},
 	}}, 0)
-	w.confine("stock", "", "hokkaido")
+	w.allowRegions("stock", "", "hokkaido")
 	x := w.open("stock", "key-1")
 	x.do(statement.KindRead, "", "item")
 	w.pass(100*time.Millisecond, true)
@@ -112,14 +112,14 @@
 
 // Guards against a promotion that has the writes of a database refused, where another replica has all that
 // the chosen one has.
-func TestReplicaAtHomeIsPromoted(t *testing.T) {
+func TestReplicaInAnAllowedRegionIsPromoted(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
 	w.instances["b"].far = true
 	w.list()
 	w.settled()
 	w.relay.SetCoordinator(true)
-	w.confine("rush", "", "hokkaido")
+	w.allowRegions("rush", "", "hokkaido")
 	w.list("a")
 	w.pass(500*time.Millisecond, true)
 	c.Assert(w.orders, qt.HasLen, 1)
--- a/core/relay/reign_test.go
+++ b/core/relay/sole_primary_test.go
@@ -15,9 +15,9 @@
 // A host has no registration. A read that it sent to b, a late replica, is answered when b leads
 // already, and the host has heard that over another connection. The answer is proved by the
 // others' word, and its point was taken for one of b's reign: below what b leads with.
-func TestProvedAnswerOfBeforeTheReignGivesNoPoint(t *testing.T) {
+func TestVerifiedAnswerFromBeforeThePromotionGivesNoLogPosition(t *testing.T) {
 	c := qt.New(t)
-	w := acquainted(c)
+	w := newConnectedWorld(c)
 	a, b, other := w.instances["a"], w.instances["b"], w.instances["c"]
 	a.point.Index = 9
 	w.relay.LeaseLost()
@@ -33,7 +33,7 @@
 	b.pending, b.hold, other.hold = nil, false, false
 	w.promote().point.Index = 9
 	other.term, a.term, a.role = 2, 2, fleet.RoleReplica
-	w.relay.AddRecord(toSuccessor)
+	w.relay.AddRecord(promotionOfB)
 	for _, f := range late[1:] {
 		f()
 	}
@@ -42,15 +42,15 @@
 	c.Assert(g.PrimaryKnown && g.Primary == "b", qt.IsTrue)
 	late[0]()
 	w.pass(200*time.Millisecond, false)
-	ran, _ := w.reads("stock", 50*time.Millisecond, false)
+	ran, _ := w.readOnce("stock", 50*time.Millisecond, false)
 	c.Assert(ran["c"], qt.Equals, 0, qt.Commentf("c ends at %v, b leads with %v", other.point, b.point))
 }
 
 // The late word of a replica is the first that is read after b has said that it leads: no point of
 // the reign is known yet that would go before it.
-func TestLateWordIsNotTheFirstPointOfAReign(t *testing.T) {
+func TestLateReplicaAnswerIsNotTheFirstLogPositionOfATerm(t *testing.T) {
 	c := qt.New(t)
-	w, late := lateWord(c)
+	w, late := newLateAnswerWorld(c)
 	for range 100 {
 		if w.relay.State().Groups[0].PrimaryKnown {
 			break
@@ -61,7 +61,7 @@
 	late()
 	w.deliver()
 	for range 2 {
-		ran, _ := w.reads("stock", 100*time.Millisecond, true)
+		ran, _ := w.readOnce("stock", 100*time.Millisecond, true)
 		c.Assert(ran["c"], qt.Equals, 0)
 	}
 }
@@ -70,7 +70,7 @@
 // it couldn't reach it, and ordered c with a as the former primary. The host hears of the last
 // order only. a is the former of nobody: it lacks what b has acknowledged, and what it is told
 // itself is lost.
-func TestFormerAcrossAnOrderThatWasMissed(t *testing.T) {
+func TestFormerPrimaryIsNotUsedAfterAMissedPromotion(t *testing.T) {
 	for _, k := range []statement.Kind{statement.KindRead, statement.KindWrite} {
 		t.Run(string(k), func(t *testing.T) {
 			c := qt.New(t)
@@ -90,7 +90,7 @@
 // Two instances have been off the list for long, and the store is lost. They are back for another
 // host, which promotes one. This host still takes the third for the only one that may lead, by a
 // list that is seconds old.
-func TestInstanceOffAnOldListMayLead(t *testing.T) {
+func TestInstanceMissingFromAnOldListMayBePrimary(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
 	w.instances["b"].away, w.instances["c"].away = true, true
@@ -100,13 +100,13 @@
 	}
 	w.pass(3500*time.Millisecond, false)
 	w.promote().point = fleet.LogPosition{Term: 2, Index: 9}
-	ran, _ := w.reads("rush", 100*time.Millisecond, false)
+	ran, _ := w.readOnce("rush", 100*time.Millisecond, false)
 	c.Assert(ran["a"], qt.Equals, 0)
 }
 
 // The primary starts anew under its name, and knows nothing of what it led. Its word of before is
 // no word of the one that answers now.
-func TestPrimaryThatStartedAnewIsAskedAgain(t *testing.T) {
+func TestRestartedPrimaryIsPolledAgain(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	a := w.instances["a"]
@@ -121,18 +121,18 @@
 	}
 	is[0].Started = 99
 	w.relay.SetInstances(is, w.now)
-	ran, _ := w.reads("rush", 100*time.Millisecond, true)
+	ran, _ := w.readOnce("rush", 100*time.Millisecond, true)
 	c.Assert(ran["a"], qt.Equals, 0)
 }
 
 // A host without the store has heard from b itself that it leads. A write that it still sent to a
 // would be in doubt; it is refused at once, not run.
-func TestNothingIsWrittenPastAKnownSuccessor(t *testing.T) {
+func TestWriteIsRefusedOnceASuccessorIsKnown(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.pass(4*time.Second, false)
 	w.promote().point = fleet.LogPosition{Term: 2, Index: 6}
-	w.reads("rush", 400*time.Millisecond, false)
+	w.readOnce("rush", 400*time.Millisecond, false)
 	x := w.open("rush", "key-1")
 	x.do(statement.KindWrite, "", "item data")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
@@ -142,16 +142,16 @@
 
 // Replicas that are cut off from a new primary don't join its term for long. Each host would ask
 // each of them twenty times a second for as long as reads come.
-func TestReplicaThatDoesNotJoinIsAskedLessAndLess(t *testing.T) {
+func TestReplicaThatDoesNotJoinIsPolledLessOften(t *testing.T) {
 	c := qt.New(t)
-	w := acquainted(c)
-	w.relay.AddRecord(toSuccessor)
+	w := newConnectedWorld(c)
+	w.relay.AddRecord(promotionOfB)
 	w.pass(1100*time.Millisecond, true)
 	w.promote()
 	w.pass(200*time.Millisecond, true)
 	before := w.relay.State().Counts.Asked
 	for range 100 {
-		w.reads("stock", 100*time.Millisecond, true)
+		w.readOnce("stock", 100*time.Millisecond, true)
 	}
 	asked := w.relay.State().Counts.Asked - before
 	c.Assert(asked > 0 && asked < 50, qt.IsTrue, qt.Commentf("%d questions to two replicas in 10 s", asked))
@@ -159,37 +159,37 @@
 
 // An order has just become known, and nobody has heard its instance yet. It can't have taken effect:
 // the former primary goes on, unasked.
-func TestFormerGoesOnWhileTheOrderCantHaveTakenEffect(t *testing.T) {
+func TestFormerPrimaryServesUntilThePromotionCanHaveTakenEffect(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.instances["b"].silent = true
 	w.cut(w.instances["b"])
-	w.relay.AddRecord(toSuccessor)
-	ran, _ := w.reads("rush", 100*time.Millisecond, true)
+	w.relay.AddRecord(promotionOfB)
+	ran, _ := w.readOnce("rush", 100*time.Millisecond, true)
 	c.Assert(ran["a"], qt.Equals, 1)
 }
 
 // Without a registration an order on its way doesn't free the instances that it doesn't name from
 // being asked: another order may have gone to them.
-func TestOrderVouchesForNoThirdInstance(t *testing.T) {
+func TestPromotionRecordDoesNotVerifyAThirdInstance(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.pass(4*time.Second, false)
 	w.instances["c"].role, w.instances["c"].term = fleet.RolePrimary, 2
-	w.relay.AddRecord(toSuccessor)
+	w.relay.AddRecord(promotionOfB)
 	w.pass(time.Second, false)
-	ran, _ := w.reads("rush", 100*time.Millisecond, false)
+	ran, _ := w.readOnce("rush", 100*time.Millisecond, false)
 	c.Assert(ran["a"], qt.Equals, 0)
 }
 
 // A word comes after a read's begin that was asked for before it: it tells nothing of what was
 // acknowledged in between.
-func TestWordCountsFromItsQuestionOn(t *testing.T) {
+func TestResponseToAnEarlierPollDoesNotVerifyALaterRead(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.pass(4*time.Second, false)
 	for range 2 {
-		w.reads("rush", 100*time.Millisecond, false)
+		w.readOnce("rush", 100*time.Millisecond, false)
 	}
 	a, b := w.instances["a"], w.instances["b"]
 	b.hold = true
--- a/core/relay/transaction_test.go
+++ b/core/relay/transaction_test.go
@@ -110,7 +110,7 @@
 
 // A caller begins, writes and goes away without a sign. Its connection, of which there are
 // few, is given back, and what it wrote is rolled back.
-func TestRestingTransactionIsEnded(t *testing.T) {
+func TestIdleTransactionIsRolledBack(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	x := w.open("rush", "key-1")
