--- a/core/relay/cold_test.go
+++ b/core/relay/cold_test.go
@@ -12,11 +12,11 @@
 	"skylarkdeal/core/statement"
 )
 
-// coldRate is what a cold instance bears in these tests, in statements a second: half of it is one
-// host's.
+// coldRate is the rate that a cold instance can serve in these tests, in statements a second. Half
+// of it is the share of one host.
 const coldRate = 20
 
-// setCold has the instances of the service bear little while they are cold, and some of them be cold.
+// setCold limits cold instances of the service to coldRate, and makes some instances cold.
 func (w *world) setCold(is ...fleet.Instance) {
 	w.revise(func(d *catalog.Catalog) {
 		s := d.Services[service]
@@ -30,7 +30,7 @@
 	w.list()
 }
 
-// Guards against callers who return all at once to an instance that has just started.
+// Guards against callers that all return at once to a replica that has just started.
 func TestColdReplicaStaysBelowItsRate(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -45,7 +45,8 @@
 	c.Assert(len(w.instances["b"].ran) <= coldRate/2, qt.IsTrue)
 }
 
-// Guards against a cold primary that gets more than it bears: no other instance can run writes.
+// Guards against a cold primary that gets more than its rate, and against one that gets none: no
+// other instance can run writes.
 func TestColdPrimaryGetsItsRate(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -69,8 +70,8 @@
 	c.Assert(served > coldRate, qt.IsTrue, qt.Commentf("%d", served))
 }
 
-// Guards against two hosts that both send all that a cold instance bears: one that hears less than
-// half of its data centre sends nothing.
+// Guards against two hosts that both send the whole rate of a cold instance: a host that hears less
+// than half of its data centre sends nothing.
 func TestHostThatHearsFewHostsSendsNothingToColdInstances(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -84,7 +85,8 @@
 	c.Assert(w.instances["a"].ranSince(ran), qt.HasLen, 0)
 }
 
-// Guards against hosts that each send by their own connections what a cold instance bears of all.
+// Guards against hosts that each send, over their own connections, the rate that a cold instance
+// can serve for all hosts.
 func TestColdInstanceIsUsedOverOneHost(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -101,17 +103,17 @@
 	}
 	c.Assert(direct, qt.Equals, 3)
 	w.setCold("a", "b", "c")
-	over := 0
+	forwarded := 0
 	for _, i := range w.relay.State().Groups[0].Instances {
 		if i.Holder != "" {
-			over++
+			forwarded++
 		}
 	}
-	c.Assert(over > 0, qt.IsTrue)
+	c.Assert(forwarded > 0, qt.IsTrue)
 }
 
-// Guards against an instance that has restarted under its name and is flooded before the store
-// tells that it is cold.
+// Guards against an instance that has restarted under its name and is overloaded before the list in
+// the store shows that it is cold.
 func TestRestartedInstanceCountsAsColdUntilTheListIsRead(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -134,8 +136,8 @@
 	c.Assert(len(w.instances["a"].ranSince(ran)) >= 45, qt.IsTrue)
 }
 
-// Guards against a promotion of an instance that is slow for seconds where another has all that it
-// has.
+// Guards against the promotion of an instance that is slow for seconds, where a warm one has the
+// same log.
 func TestWarmReplicaIsPromoted(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
--- a/core/relay/evacuation_test.go
+++ b/core/relay/evacuation_test.go
@@ -13,8 +13,8 @@
 	"skylarkdeal/core/statement"
 )
 
-// newSplitWorld returns a world whose primary a and replica b stand in another data centre than the
-// replica c, which is beside the host.
+// newSplitWorld returns a world whose primary a and replica b are in data centre sapporo, and whose
+// replica c is in the data centre of the host.
 func newSplitWorld(c *qt.C) *world {
 	w := newWorld(c)
 	w.instances["a"].far, w.instances["b"].far = true, true
@@ -24,10 +24,11 @@
 	return w
 }
 
-// ranSince returns what an instance has run after from.
+// ranSince returns what an instance has run since it had run from statements.
 func (n *node) ranSince(from int) []string { return n.ran[from:] }
 
-// handleForward has another host have a statement run here, and returns the answers.
+// handleForward has the relay handle a statement that another host forwards to it, and returns the
+// answers.
 func (w *world) handleForward(i fleet.Instance, q statement.Statement) []statement.Answer {
 	var got []statement.Answer
 	w.relay.HandleForward(1, relay.Forward{
@@ -38,7 +39,8 @@
 	return got
 }
 
-// Guards against reads that still reach the instances of a data centre which operators empty.
+// Guards against reads that still reach the instances of a data centre that operators have
+// evacuated.
 func TestReadsLeaveAnEvacuatedDataCentreAtOnce(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -53,7 +55,7 @@
 	c.Assert(w.instances["b"].ranSince(before), qt.HasLen, 0)
 }
 
-// Guards against a primary that stays in an evacuated data centre because it is well.
+// Guards against a healthy primary that stays in an evacuated data centre.
 func TestEvacuatedPrimaryIsReplacedElsewhere(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -65,8 +67,9 @@
 	c.Assert(w.orders[0].Reason, qt.Equals, leader.ReasonLeaving)
 }
 
-// Guards against orders that end with the evacuation although their primary could go on until its
-// successor leads, and against a primary that goes on for longer than it may.
+// Guards against refused writes as soon as the data centre of the primary is evacuated, although
+// that primary may serve until its successor does. Guards also against a primary that serves for
+// longer than it may.
 func TestEvacuatedPrimaryGoesOnForHalfOfTheTime(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -83,8 +86,9 @@
 	c.Assert(w.instances["a"].ranSince(before), qt.HasLen, 0)
 }
 
-// Guards against a transaction that holds on to an instance in an evacuated data centre: neither its
-// next statement nor its commit may reach it, and its caller has to know that nothing is kept.
+// Guards against a transaction that keeps using an instance in an evacuated data centre after the
+// time that it is given to end. Neither its next statement nor its commit may reach the instance,
+// and its caller must learn that it was rolled back.
 func TestTransactionInAnEvacuatedDataCentreIsRolledBack(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -104,8 +108,8 @@
 	c.Assert(w.instances["a"].ranSince(before), qt.HasLen, 0)
 }
 
-// Guards against a host that runs for another one what that one, which doesn't know of the
-// evacuation yet, has sent.
+// Guards against a holder that runs a statement on an instance in an evacuated data centre for
+// another host, which doesn't know of the evacuation yet.
 func TestHolderRejectsForwardsToAnEvacuatedDataCentre(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -116,7 +120,8 @@
 	c.Assert(w.count("f1"), qt.Equals, 0)
 }
 
-// Guards against an evacuation that is never over, or is undone by an older catalog.
+// Guards against an evacuation that stays in effect after it is revoked, or that is undone by an
+// older catalog.
 func TestWritesResumeOnceTheEvacuationIsRevoked(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -133,8 +138,7 @@
 	c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 }
 
-// Guards against an evacuation that is put and taken back within a moment and costs a change of
-// primary.
+// Guards against a change of primary that is caused by an evacuation which is revoked at once.
 func TestShortEvacuationChangesNoPrimary(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -145,8 +149,8 @@
 	c.Assert(w.orders, qt.HasLen, 0)
 }
 
-// Guards against a host that leaves the rotation, or gives orders in circles, when every data centre
-// is evacuated, one of them unknown.
+// Guards against a host that reports that it isn't ready, or requests promotions in a loop, when
+// every data centre is evacuated. One of the evacuated data centres is unknown.
 func TestEvacuationOfAllDataCentresRefusesEveryStatement(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -169,8 +173,8 @@
 	}
 }
 
-// Guards against an evacuation during a change of primary whose successor stands there: the group
-// would go on under it.
+// Guards against a primary that stays in an evacuated data centre, because the evacuation began
+// during its promotion.
 func TestSuccessorInAnEvacuatedDataCentreIsReplacedToo(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
--- a/core/relay/fleet_test.go
+++ b/core/relay/fleet_test.go
@@ -16,15 +16,15 @@
 
 const (
 	highCapacity fleet.Capacity = 0.8
-	lowCapacity   fleet.Capacity = 0.2
+	lowCapacity  fleet.Capacity = 0.2
 	// highCapacityPerDataCentre is how many strong hosts each data centre of a large fleet has.
 	highCapacityPerDataCentre = 3
 )
 
-// fleetSizes are those that a host's cost is compared at.
+// fleetSizes are the numbers of hosts for which the cost of one host is checked.
 var fleetSizes = []int{30, 100, 300, 920}
 
-// fleetOf returns n hosts in five data centres, of which the first three have the instances.
+// fleetOf returns n hosts in five data centres. The instances are in the first three.
 func fleetOf(n int) []relay.Peer {
 	out := make([]relay.Peer, n)
 	for h := range out {
@@ -40,7 +40,8 @@
 	return out
 }
 
-// newFleetWorld returns the relay of one host of a fleet, before many groups of three instances.
+// newFleetWorld returns the world of host n of a fleet, with a number of groups of three instances
+// each.
 func newFleetWorld(c *qt.C, hosts []relay.Peer, n, groups int) *world {
 	w := worldOf(c, hosts[n], time.Minute)
 	var is []catalog.Instance
@@ -59,7 +60,8 @@
 	return w
 }
 
-// holderByInstance returns the host over which a host uses each instance.
+// holderByInstance returns the host through which the host self uses each instance. Instances of
+// the world's own group are left out.
 func (w *world) holderByInstance(self fleet.Host) map[fleet.Instance]fleet.Host {
 	out := map[fleet.Instance]fleet.Host{}
 	for _, g := range w.relay.State().Groups {
@@ -76,58 +78,59 @@
 	return out
 }
 
-// Guards against links and holders that grow with the fleet.
+// Guards against a number of links and holders that grows with the number of hosts. All hosts must
+// choose the same holders.
 func TestLinksOfAHostDoNotGrowWithTheFleet(t *testing.T) {
 	c := qt.New(t)
 	const groups = 20
 	for _, n := range fleetSizes {
 		hosts := fleetOf(n)
-		var agreed map[fleet.Instance]fleet.Host
+		var want map[fleet.Instance]fleet.Host
 		for h := 0; h < n; h += max(n/20, 1) {
 			w := newFleetWorld(c, hosts, h, groups)
 			got := w.holderByInstance(hosts[h].Host)
-			if agreed == nil {
-				agreed = got
+			if want == nil {
+				want = got
 			}
-			c.Assert(got, qt.DeepEquals, agreed)
-			// The world has three more instances, where no host is.
+			c.Assert(got, qt.DeepEquals, want)
+			// The world's own group has three more instances, in a data centre without hosts of the fleet.
 			c.Assert(len(w.relay.Holders()) <= 3*highCapacityPerDataCentre+3, qt.IsTrue,
 				qt.Commentf("%d links of %d hosts", len(w.relay.Holders()), n))
 		}
 	}
 }
 
-// Guards against callers who wait for a small host that holds a busy instance: its processor is
-// taken by what the whole fleet sends through it.
+// Guards against slow answers because a host with little capacity holds a busy instance: the
+// statements of the whole fleet for this instance use its processor.
 func TestLoadOfHoldersFitsTheirCapacity(t *testing.T) {
 	c := qt.New(t)
 	const (
 		groups = 20
-		// A loaded instance runs a statement in 9 ms on each of its two slots, and each takes the
-		// holder half a millisecond.
-		statements     = 2 / 0.009
-		holderWork     = 0.0005
-		mostOfCapacity = 1.5
+		// A loaded instance runs a statement in 9 ms on each of its two slots, and each statement
+		// uses 0.5 ms of processor time of the holder.
+		statementsPerSecond       = 2 / 0.009
+		holderSecondsPerStatement = 0.0005
+		maxLoad                   = 1.5
 	)
 	for _, n := range fleetSizes {
 		hosts := fleetOf(n)
-		of := map[fleet.Host]fleet.Capacity{}
+		capacities := map[fleet.Host]fleet.Capacity{}
 		for _, h := range hosts {
-			of[h.Host] = h.Capacity
+			capacities[h.Host] = h.Capacity
 		}
-		work := map[fleet.Host]float64{}
+		cores := map[fleet.Host]float64{}
 		for _, h := range newFleetWorld(c, hosts, 0, groups).holderByInstance(hosts[0].Host) {
-			work[h] += statements * holderWork
+			cores[h] += statementsPerSecond * holderSecondsPerStatement
 		}
-		for h, cores := range work {
-			c.Check(of[h], qt.Equals, highCapacity, qt.Commentf("%s of %d hosts", h, n))
-			c.Check(cores/float64(of[h]) < mostOfCapacity, qt.IsTrue, qt.Commentf("%s: %g cores", h, cores))
+		for h, used := range cores {
+			c.Check(capacities[h], qt.Equals, highCapacity, qt.Commentf("%s of %d hosts", h, n))
+			c.Check(used/float64(capacities[h]) < maxLoad, qt.IsTrue, qt.Commentf("%s: %g cores", h, used))
 		}
 	}
 }
 
-// Guards against an instance whose connections are used up by hosts that look whether they reach
-// it, as all have heard that one doesn't.
+// Guards against a suspected instance whose connections are used up by the probes of all hosts,
+// after one host has reported that it can't reach the instance.
 func TestFewHostsProbeASuspectedInstance(t *testing.T) {
 	c := qt.New(t)
 	for _, n := range []int{300, 920} {
@@ -143,8 +146,8 @@
 	}
 }
 
-// Guards against a start at which each host takes itself for the holder of an instance whose holders
-// it doesn't hear yet. Over those that it hears it serves its callers.
+// Guards against hosts that start and each become a holder of an instance, because they don't hear
+// the actual holders yet. Until then a host serves its callers through the peers that it hears.
 func TestHostWithIncompletePeersOpensNoConnections(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
@@ -166,8 +169,8 @@
 	c.Check(w.instances["a"].dialled > 0, qt.IsTrue)
 }
 
-// Guards against a start at which no host hears another yet and each takes some connections: all
-// instances were full, and turned away the hosts that were to hold them.
+// Guards against hosts that start, hear no peer yet and open several connections each. The
+// instances were then full and rejected the hosts that were to hold them.
 func TestHostWithoutPeersLeavesConnectionsFree(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
@@ -182,22 +185,23 @@
 	}
 }
 
-// Guards against a cut of a data centre that takes the processors of all hosts: links come and go,
-// and each time every host looked through all others for each instance of the cut data centre.
+// Guards against a cut off data centre that uses up the processors of all hosts. Links close and
+// open again, and each time every host searched all peers for each instance of that data centre.
 func BenchmarkHoldersWhileADataCentreIsCutOff(b *testing.B) {
 	c := qt.New(b)
 	hosts := fleetOf(300)
-	heard := slices.DeleteFunc(slices.Clone(hosts), func(p relay.Peer) bool { return p.DataCentre == "dc0" })
+	reachable := slices.DeleteFunc(slices.Clone(hosts), func(p relay.Peer) bool { return p.DataCentre == "dc0" })
 	w := newFleetWorld(c, hosts, 1, 20)
 	for n := range b.N {
-		heard[n%len(heard)].Send = nil
-		w.relay.SetPeers(slices.Clone(heard), 60)
+		reachable[n%len(reachable)].Send = nil
+		w.relay.SetPeers(slices.Clone(reachable), 60)
 		w.relay.Holders()
-		heard[n%len(heard)].Send = func(relay.Forward) {}
+		reachable[n%len(reachable)].Send = func(relay.Forward) {}
 	}
 }
 
-// Guards against hundreds of hosts that all tick quickly while one group has no primary.
+// Guards against hundreds of hosts that all tick at a short interval while one group has no
+// primary. Only a failover coordinator does so.
 func TestForwardingHostIsIdleWhileAGroupHasNoPrimary(t *testing.T) {
 	c := qt.New(t)
 	w := newFleetWorld(c, fleetOf(300), 50, 1)
--- a/core/relay/forward_test.go
+++ b/core/relay/forward_test.go
@@ -11,8 +11,8 @@
 	"skylarkdeal/core/statement"
 )
 
-// This host is cut off from the primary alone, and another says that it reaches it. Its
-// callers are served over that one.
+// Only this host is cut off from the primary, and another host reports that it reaches it.
+// Statements are forwarded through that host.
 func TestUnreachablePrimaryIsUsedOverAHostThatReachesIt(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -37,10 +37,9 @@
 	c.Assert(x.last().Digest, qt.Equals, "d-over")
 }
 
-// The host forwards nothing here, but runs statements for others: of two streams each has
-// its own transaction, and one that has ended is not begun by what belongs to it. A host
-// had reopened its link, its streams were ended with the old one, and a write of a
-// transaction ran outside of it.
+// Guards against a write of a transaction that runs outside of it. A host had reopened its link,
+// which ended the streams of the old link; the next write of a transaction then ran on its own. A
+// statement that doesn't open a stream must not run on a stream that has ended.
 func TestStreamThatEndedRunsNothing(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -65,21 +64,22 @@
 	c.Assert(w.count("write w2"), qt.Equals, 0)
 }
 
-// Twelve hosts before 16 connections would have one each, and accounts would have to take
-// turns on it. One host of the instance's data centre holds them, and the others forward.
+// With 12 hosts and 16 connections, each host would have one, and its accounts would take turns on
+// it. So one host in the data centre of the instance holds all connections, and the others forward
+// to it.
 func TestScarceConnectionsAreHeldByOneHost(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.relay.SetHostCount(12)
 	var sent []relay.Forward
-	var over fleet.Host
+	var holder fleet.Host
 	peers := []relay.Peer{{
 		Host: "far", DataCentre: "sapporo", Send: func(relay.Forward) { c.Error("not the nearest host") },
 	}}
 	for n := range 9 {
 		name := fleet.Host("near-" + string(rune('a'+n)))
 		peers = append(peers, relay.Peer{Host: name, DataCentre: "obihiro", Send: func(f relay.Forward) {
-			sent, over = append(sent, f), name
+			sent, holder = append(sent, f), name
 		}})
 	}
 	w.relay.SetPeers(peers, 0)
@@ -88,16 +88,16 @@
 	c.Assert(sent, qt.HasLen, 1)
 	c.Assert(sent[0].Open, qt.IsTrue)
 	c.Assert(sent[0].Close, qt.IsTrue)
-	w.relay.HandleForwardAnswer(over, sent[0].Stream, statement.Answer{Digest: "d-over", State: statement.TxNone})
+	w.relay.HandleForwardAnswer(holder, sent[0].Stream, statement.Answer{Digest: "d-over", State: statement.TxNone})
 	c.Assert(x.last().Digest, qt.Equals, "d-over")
-	w.relay.HandleForwardAnswer(over, sent[0].Stream, statement.Answer{Digest: "twice", State: statement.TxNone})
+	w.relay.HandleForwardAnswer(holder, sent[0].Stream, statement.Answer{Digest: "twice", State: statement.TxNone})
 	c.Assert(x.answers, qt.HasLen, 1)
 }
 
-// All hosts have lost power and start again. The instances hold on to the connections of
-// before for 3 s and have room for one from each host: accounts took turns on it, each by a
-// new connection, and one transaction that paused held up all others of the host. Until the
-// old ones are gone one host holds what there is, and the others forward to it.
+// Guards against slow transactions after all hosts have lost power and restarted. The instances
+// keep the old connections for 3 s and have room for one more from each host. Accounts took turns
+// on it, each with a new connection, and one paused transaction blocked all others of the host.
+// Until the old connections are closed, one host holds the free ones, and the others forward to it.
 func TestRecentlyStartedHostsShareOneHolder(t *testing.T) {
 	c := qt.New(t)
 	w := newYoungWorld(c).settled()
@@ -122,9 +122,10 @@
 	c.Assert(y.last().Code, qt.Equals, statement.CodeNone)
 }
 
-// Another host has a transaction begun here on a replica that lacks the point which it needs.
-// The host that asked chooses the next instance; this one tried the same replica five more
-// times in as many round trips, while reads that it could serve waited.
+// Another host forwards the begin of a transaction to a replica that doesn't cover the required
+// position. Guards against retries on the same replica: this host made five more in as many round
+// trips, while reads that the replica could serve waited. The forwarding host chooses the next
+// instance.
 func TestForwardedTransactionIsRejectedAtOnceByALaggingReplica(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -143,8 +144,8 @@
 	c.Assert(w.instances["b"].lagged, qt.Equals, 1)
 }
 
-// An instance breaks off one connection in five instead of answering. It is there all the
-// same: the next connection to it is made at once, not after a pause.
+// An instance closes one connection in five instead of answering, but is reachable. The next
+// connection to it must be opened at once, without a delay.
 func TestBrokenConnectionToARespondingInstanceIsReplacedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -161,8 +162,8 @@
 	c.Assert(y.last().Code, qt.Equals, statement.CodeNone)
 }
 
-// An operation is forwarded when it has nearly used up its time to wait, and the holder has no
-// room for it. Its caller is told to come back then, not when its route's time is over.
+// An operation is forwarded with little of its wait limit left, and the holder has no free
+// connection. The holder must refuse it at that limit, not at the timeout of its route.
 func TestForwardedOperationDoesNotWaitBeyondItsLimit(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
--- a/core/relay/history_test.go
+++ b/core/relay/history_test.go
@@ -12,11 +12,11 @@
 	"skylarkdeal/core/statement"
 )
 
-// promotionOfB is the order under which b is to lead after a, in term 2.
+// promotionOfB is the leader record that makes b the primary in term 2, after a.
 var promotionOfB = leader.Record{Service: service, Term: 2, Primary: "b", Former: "a", Revision: 7}
 
-// newConnectedWorld returns a world whose relay has a point of the primary a, and connections to all
-// instances. Of the replicas it prefers c, which is nearer.
+// newConnectedWorld returns a world whose relay has a log position of the primary a and connections
+// to all instances. It prefers replica c to b, because c is nearer.
 func newConnectedWorld(c *qt.C) *world {
 	w := newWorld(c).settled()
 	w.open("rush", "key-1").do(statement.KindRead, "", "for the sample")
@@ -32,7 +32,7 @@
 		c.Assert(len(i.conns) > 0, qt.IsTrue, qt.Commentf("no connection to %s", i.name))
 	}
 	w.deliver()
-	// What they took while they were held counts no more after this.
+	// After this time the slow answers of the held instances no longer count.
 	w.pass(3*time.Second, true)
 	w.instances["b"].far = true
 	w.list()
@@ -40,8 +40,8 @@
 	return w
 }
 
-// newLateAnswerWorld returns a world in which a is lost and b, a late replica, has just begun to lead, and
-// what delivers an answer that b gave before.
+// newLateAnswerWorld returns a world in which a is lost and b, a lagging replica, has just been
+// promoted. The function that it returns delivers an answer that b gave as a replica.
 func newLateAnswerWorld(c *qt.C) (*world, func()) {
 	w := newConnectedWorld(c)
 	w.instances["a"].point.Index = 9
@@ -60,15 +60,15 @@
 	return w, asReplica
 }
 
-// promote has b lead term 2 with the log that it has.
+// promote makes b the primary in term 2, with the log that it has.
 func (w *world) promote() *node {
 	b := w.instances["b"]
 	b.role, b.term = fleet.RolePrimary, 2
 	return b
 }
 
-// readOnce has a new session of a database read once and returns how often each instance has run
-// it by the end of a wait.
+// readOnce has a new session of a database read once. It returns how many statements each instance
+// has run by the end of wait, and the session.
 func (w *world) readOnce(d catalog.Database, wait time.Duration, renewed bool) (map[fleet.Instance]int, *caller) {
 	before := map[fleet.Instance]int{}
 	for n, i := range w.instances {
@@ -84,11 +84,11 @@
 	return ran, x
 }
 
-// Collectors browse what may be 1.5 s old, and are shown a bottle that left 2 s ago. The primary
-// and its hosts are cut off; they still acknowledge a withdrawal that no replica hears of. When b
-// leads, its log ends where c's does, in the old term, and c has not heard of the change: its
-// log is still that of the old primary, and lacks the withdrawal. The cause: a point of the old
-// term covers nothing of the new one. A replica that is asked says which term it is in.
+// Guards against a read with an age limit of 1.5 s that misses a write of 2 s before. The old
+// primary and its hosts are cut off, and still acknowledge a write that no replica receives. When b
+// is promoted, its log ends where the log of c does, in the old term. c has not heard of the
+// promotion, so its log lacks the write. A log position of the old term covers nothing in the new
+// one, and a replica that is polled reports its term.
 func TestReplicaIsReadOnlyOnceItHasJoinedTheNewTerm(t *testing.T) {
 	c := qt.New(t)
 	w := newConnectedWorld(c)
@@ -101,21 +101,22 @@
 	c.Assert(first.last().Code, qt.Equals, statement.CodeNone)
 	ran, x := w.readOnce("stock", 100*time.Millisecond, true)
 	c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
-	c.Assert(ran["c"], qt.Equals, 0, qt.Commentf("c has not joined the new reign"))
+	c.Assert(ran["c"], qt.Equals, 0, qt.Commentf("c has not joined the new term"))
 	c.Assert(ran["b"], qt.Equals, 1)
 
 	w.instances["c"].term = 2
 	w.pass(200*time.Millisecond, true)
 	ran, _ = w.readOnce("stock", 100*time.Millisecond, true)
-	c.Assert(ran["c"], qt.Equals, 1, qt.Commentf("c has joined it, and spares the primary the read"))
+	c.Assert(ran["c"], qt.Equals, 1, qt.Commentf("c has joined it, and takes the read from the primary"))
 }
 
-// The same callers, with replicas that apply late. b says on one connection where its log ends
-// as a replica, and a moment later, on another, that it leads, with all that it had received.
-// The second answer is read first, as connections have no order among each other. The point of
-// the first is below what b leads with, and c, whose log is as short, is taken for fresh. The
-// cause: what counts is when an answer is read, not when it was asked for. The log of a late
-// replica ends far before what it has received, and at that when it is promoted.
+// Guards against the same stale read with replicas that apply late. b reports on one connection
+// where its log ends as a replica, and then, on another connection, that it is the primary, with
+// all that it had received. The second answer is read first, as connections have no order among
+// each other. The log position of the first is below the one that b leads with, so that c, whose
+// log is as short, was taken for fresh. The cause: the time at which an answer was read was
+// compared, not the time of its request. The log of a lagging replica ends far before what it has
+// received; on promotion it ends there.
 func TestLogPositionFromBeforeThePromotionIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	w, late := newLateAnswerWorld(c)
@@ -127,11 +128,11 @@
 	c.Assert(ran["b"], qt.Equals, 1)
 }
 
-// A pastry kitchen orders on one host and asks on another, which doesn't see the order. An order
-// of a change has taken effect: the first host has heard it and acknowledges writes of the new
-// primary. The second asks the new one every 50 ms whether it leads, and until then goes on with
-// the former, where the read runs, whatever becomes of its answer. The cause: that the former leads
-// was proved for answers, after the run, and for no read before it.
+// Guards against a caller that writes on one host and doesn't see the write in a read on another. A
+// promotion has taken effect: the first host knows it and acknowledges writes of the new primary.
+// The second polls the new primary every 50 ms, and goes on using the former one until it reports
+// that it leads. That the former primary still led was verified for answers, after the run, but not
+// for reads before they ran.
 func TestReadDoesNotRunOnAnUnverifiedFormerPrimary(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -144,9 +145,10 @@
 	c.Assert(ran["b"], qt.Equals, 1)
 }
 
-// A host has lost the store, and the primary that it knows is replaced. It reaches all
-// instances: one question to each shows that b leads, but it was put after the read had run on a,
-// which lacks what b has acknowledged by then. The cause is that of the test before.
+// A host has lost the store, and the primary that it knows is replaced. It reaches all instances:
+// one poll of each shows that b leads. Guards against polling only after the read has run on a,
+// which lacks what b has acknowledged by then. The cause is that of
+// TestReadDoesNotRunOnAnUnverifiedFormerPrimary.
 func TestReadDoesNotRunOnAnUnverifiedPrimaryWithoutTheStore(t *testing.T) {
 	for _, d := range []catalog.Database{"rush", "stock", "standing"} {
 		t.Run(string(d), func(t *testing.T) {
@@ -162,8 +164,8 @@
 	}
 }
 
-// The host of the test before, with nothing replaced: callers are served all the same, and the
-// replicas take their part of the reads.
+// Guards against reads that are refused, or all sent to the primary, while the store is lost and no
+// primary has been replaced.
 func TestReadsAreServedWithoutTheStore(t *testing.T) {
 	for _, d := range []catalog.Database{"rush", "stock", "standing"} {
 		t.Run(string(d), func(t *testing.T) {
--- a/core/relay/isolated_test.go
+++ b/core/relay/isolated_test.go
@@ -19,7 +19,7 @@
 	return w.settled()
 }
 
-// passIsolated lets time go by while no host elsewhere is heard.
+// passIsolated lets time pass while the host hears no other data centre.
 func (w *world) passIsolated(d time.Duration, renewed bool) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.relay.SetIsolated(true)
@@ -27,8 +27,8 @@
 	}
 }
 
-// Guards against callers of a data centre that is cut off, whose statements each wait for their time
-// on instances elsewhere, and whom the balancer sends there for another second.
+// Guards against callers in an isolated data centre whose statements each wait for their timeout on
+// instances elsewhere, and which the balancer sends there for another second.
 func TestIsolatedDataCentreRefusesAtOnce(t *testing.T) {
 	c := qt.New(t)
 	w := newRemoteWorld(c)
@@ -44,8 +44,8 @@
 	c.Assert(x.last().RetryAfter > 0, qt.IsTrue)
 }
 
-// Guards against taking one silence for a cut: reports are lost while the store answers, and the
-// store is lost while other hosts are heard.
+// Guards against taking one loss for an isolation: reports of other hosts are lost while the store
+// answers, or the store is lost while other hosts are heard.
 func TestLossOfReportsOrOfTheStoreAloneIsNoIsolation(t *testing.T) {
 	c := qt.New(t)
 	for _, isolated := range []bool{true, false} {
@@ -63,7 +63,8 @@
 	}
 }
 
-// Guards against sending callers away from a data centre that is cut off and has all they need.
+// Guards against sending callers away from an isolated data centre that has all instances they
+// need.
 func TestIsolatedDataCentreWithThePrimaryServes(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -75,8 +76,8 @@
 	c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 }
 
-// Guards against taking lost reports for a cut while the store is down: an instance elsewhere still
-// answers.
+// Guards against taking lost reports for an isolation while the store is down: an instance in
+// another data centre still answers.
 func TestAnswerFromAnotherDataCentreIsNoIsolation(t *testing.T) {
 	c := qt.New(t)
 	w := newRemoteWorld(c)
--- a/core/relay/primary_test.go
+++ b/core/relay/primary_test.go
@@ -12,9 +12,9 @@
 	"skylarkdeal/core/statement"
 )
 
-// A host loses the store, and a primary is replaced without its knowing. The old primary
-// still accepts writes on this side of a cut; they will be lost. The host must not
-// acknowledge before it has asked the others, and here one leads a later term.
+// A host loses the store, and the primary is replaced without its knowledge. The old primary still
+// accepts writes on the host's side of a network partition; they will be lost. The host must poll
+// the other instances before it acknowledges, and here one leads a later term.
 func TestWriteOfAReplacedPrimaryIsNotAcknowledged(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -28,9 +28,9 @@
 	c.Assert(x.last().Code, qt.Equals, statement.CodeInDoubt)
 }
 
-// As above, but the promoted instance has written nothing yet: its log still ends in the
-// old term, as a promotion writes no entry. Only its own word tells that it leads. A
-// write was acknowledged and lost when the position was taken for that.
+// As above, but the promoted instance has written nothing yet: its log still ends in the old term,
+// as a promotion writes no entry. Only its own status shows that it leads. A write was acknowledged
+// and lost when its log position was taken as evidence that it didn't.
 func TestPositionOfAPromotedInstanceVerifiesNothing(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -41,12 +41,13 @@
 	c.Assert(b.point.Term, qt.Equals, fleet.Term(1))
 	x, y := w.open("rush", "key-1"), w.open("stock", "key-1")
 	x.do(statement.KindWrite, "", "item data")
-	y.do(statement.KindRead, "", "item") // brings an answer of a replica with its position
+	y.do(statement.KindRead, "", "item") // the answer of a replica carries its log position
 	w.pass(50*time.Millisecond, false)
 	c.Assert(x.last().Code, qt.Equals, statement.CodeInDoubt)
 }
 
-// With the store away the answers of the primary are good as long as the others say so.
+// Without the store, a write on the primary is acknowledged when the other instances report no
+// later term.
 func TestWritesAreVerifiedWithoutTheStore(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -57,9 +58,9 @@
 	c.Assert(x.last().Digest, qt.Equals, "d-a")
 }
 
-// Without the store, with one instance out of reach, nobody can tell whether that one
-// leads by now. A write that was sent would stay in doubt, so none is sent: its caller is
-// told that it was not run, and when to come back.
+// Without the store, and with one instance out of reach, no host can tell whether that instance
+// leads by now. A write that was sent would stay in doubt, so none is sent: it is refused as not
+// run, with a time to retry.
 func TestUnverifiableWriteIsNotSent(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -76,11 +77,11 @@
 	c.Assert(w.returned, qt.Equals, 1)
 }
 
-// A primary goes dark: it resets nothing. Statements on it must not wait for their time
-// limit, and new ones are refused, unrun, as soon as it is known.
+// The primary stops responding and resets no connection. Statements on it must not wait for their
+// timeout, and new ones are refused, not run, as soon as this is detected.
 func TestSilentPrimaryIsDetected(t *testing.T) {
 	for _, key := range []catalog.Key{"key-1", "key-3"} {
-		// One of the accounts finds the connection of the first question at rest.
+		// One of the accounts gets the idle connection of the first poll.
 		checkSilentPrimary(qt.New(t), key)
 	}
 }
@@ -97,34 +98,34 @@
 	x.do(statement.KindWrite, "", "item data")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
 	c.Assert(x.last().RetryAfter > 0, qt.IsTrue)
-	_, doubted := w.relay.Unreachable()["a"]
-	c.Assert(doubted, qt.IsTrue)
+	_, suspected := w.relay.Unreachable()["a"]
+	c.Assert(suspected, qt.IsTrue)
 }
 
-// A link breaks between this host, which has the duty, and the primary. The others reach
-// it and say so: one bad link replaces no primary.
+// The link between the failover coordinator and the primary breaks. The other hosts report that
+// they reach the primary: one broken link must replace no primary.
 func TestCoordinatorKeepsAPrimaryThatOthersReach(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.relay.SetCoordinator(true)
-	tell := func(reached ...fleet.Instance) {
+	report := func(reached ...fleet.Instance) {
 		w.relay.AddReachability("h2", nil, reached)
 		w.relay.AddReachability("h3", nil, reached)
 		w.pass(100*time.Millisecond, true)
 	}
 	for range 15 {
-		tell()
+		report()
 	}
 	w.lose("a")
 	for range 20 {
-		tell("a")
+		report("a")
 	}
 	c.Assert(w.orders, qt.HasLen, 0)
 }
 
-// The primary goes dark. Only its holder has connections to it; all others use it over
-// that host, and notice nothing by themselves. The holder's doubt has to do, once the
-// others had the time to look: it took 8 s, until the instance was off the list.
+// The primary stops responding. Only its holder has connections to it; all other hosts use it
+// through the holder and detect nothing themselves. The suspicion of the holder must suffice, once
+// the others had the time to probe: the failover took 8 s, until the instance was off the list.
 func TestCoordinatorReplacesAPrimaryThatOnlyItsHolderSuspects(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -144,8 +145,8 @@
 	c.Assert(o.Reason, qt.Equals, leader.ReasonUnreachable)
 }
 
-// Another host doubts an instance that this one has not used for long. It looks for
-// itself, and can then say that it reaches it.
+// Another host suspects an instance that this host has not used for long. This host must probe it,
+// and then report that it reaches it.
 func TestHostProbesAnInstanceThatAnotherSuspects(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -156,9 +157,9 @@
 	c.Assert(w.relay.Reachable(), qt.DeepEquals, []fleet.Instance{"c"})
 }
 
-// A data centre was cut off and is back. Its hosts report again at once, still doubting
-// the primary that was made meanwhile: they have not tried it since. Their word replaced
-// a healthy primary, and all writes stood still for a second.
+// A data centre was cut off and is back. Its hosts report again at once, and still suspect the
+// primary that was promoted meanwhile: they have not probed it since. These reports replaced a
+// healthy primary, and all writes were blocked for a second.
 func TestSuspicionsOfAHostThatWasCutOffDontCount(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -176,8 +177,8 @@
 	c.Assert(w.orders, qt.HasLen, 0)
 }
 
-// The primary is leaving. Its successor is ordered while it still works, and it goes on
-// until then: callers wait a tenth of a second, not the whole change.
+// The primary is leaving. The promotion of its successor is requested while it still works, and it
+// serves until then: callers wait a tenth of a second, not for the whole change.
 func TestLeavingPrimaryGoesOnUntilItsSuccessorLeads(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
--- a/core/relay/regions_test.go
+++ b/core/relay/regions_test.go
@@ -12,7 +12,7 @@
 	"skylarkdeal/core/statement"
 )
 
-// allowRegions has the reads of one database, or one account, enter some regions only.
+// allowRegions restricts a database, or an account, to some regions. An empty name changes none.
 func (w *world) allowRegions(db catalog.Database, a fleet.Account, regions ...fleet.Region) {
 	h := catalog.AllowedRegions{}
 	for _, r := range regions {
@@ -36,7 +36,7 @@
 	})
 }
 
-// Guards against data that leaves the regions which its database or its account is allowed.
+// Guards against data that leaves the allowed regions of its database or account.
 func TestStatementsStayInTheirRegions(t *testing.T) {
 	for _, restricted := range []string{"database", "account"} {
 		c := qt.New(t)
@@ -57,8 +57,8 @@
 	}
 }
 
-// Guards against a statement that waits for its time limit, or goes abroad, where the regions of its
-// database and its account have no instance in common.
+// Guards against a statement that waits for its timeout, or runs outside its allowed regions, where
+// those of its database and of its account have no instance in common.
 func TestStatementWithoutACommonRegionIsRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -74,7 +74,7 @@
 	c.Assert(y.last().Code, qt.Equals, statement.CodeNone)
 }
 
-// Guards against a write that is sent to a primary abroad.
+// Guards against a write that is sent to a primary outside the allowed regions.
 func TestWriteIsRefusedWhileThePrimaryIsOutsideItsRegions(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -86,18 +86,18 @@
 	c.Assert(w.instances["a"].ranSince(before), qt.HasLen, 0)
 }
 
-// Guards against a statement whose text is told to a host abroad, because that one holds the
-// connections.
+// Guards against a statement whose text is sent to a host outside the allowed regions, because that
+// host holds the connections.
 func TestStatementIsNotForwardedOutsideItsRegions(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
 	w.relay.SetHostCount(12)
-	told := 0
+	forwarded := 0
 	w.relay.SetPeers([]relay.Peer{{
 		Host: "h2", DataCentre: "sapporo", Send: func(f relay.Forward) {
 			for _, q := range f.Statements {
 				if q.Kind != statement.KindStepDown {
-					told++
+					forwarded++
 				}
 			}
 		},
@@ -106,12 +106,12 @@
 	x := w.open("stock", "key-1")
 	x.do(statement.KindRead, "", "item")
 	w.pass(100*time.Millisecond, true)
-	c.Assert(told, qt.Equals, 0)
+	c.Assert(forwarded, qt.Equals, 0)
 	c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 }
 
-// Guards against a promotion that has the writes of a database refused, where another replica has all that
-// the chosen one has.
+// Guards against a promotion after which the writes of a database are refused because of its
+// allowed regions, where another replica has the same log and is in an allowed region.
 func TestReplicaInAnAllowedRegionIsPromoted(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
--- a/core/relay/sole_primary_test.go
+++ b/core/relay/sole_primary_test.go
@@ -12,9 +12,10 @@
 	"skylarkdeal/core/statement"
 )
 
-// A host has no registration. A read that it sent to b, a late replica, is answered when b leads
-// already, and the host has heard that over another connection. The answer is proved by the
-// others' word, and its point was taken for one of b's reign: below what b leads with.
+// A host has no registration. A read that it sent to b, a lagging replica, is answered when b
+// already leads, which the host has heard over another connection. The reports of the other
+// instances verify the answer. Guards against taking its log position for one of b's term: it is
+// below the one that b leads with.
 func TestVerifiedAnswerFromBeforeThePromotionGivesNoLogPosition(t *testing.T) {
 	c := qt.New(t)
 	w := newConnectedWorld(c)
@@ -46,8 +47,8 @@
 	c.Assert(ran["c"], qt.Equals, 0, qt.Commentf("c ends at %v, b leads with %v", other.point, b.point))
 }
 
-// The late word of a replica is the first that is read after b has said that it leads: no point of
-// the reign is known yet that would go before it.
+// The late answer of a replica is the first that is read after b has reported that it leads, so no
+// log position of the new term is known yet that would supersede it.
 func TestLateReplicaAnswerIsNotTheFirstLogPositionOfATerm(t *testing.T) {
 	c := qt.New(t)
 	w, late := newLateAnswerWorld(c)
@@ -66,10 +67,10 @@
 	}
 }
 
-// While a host had no registration, b was ordered, led, and acknowledged writes; whoever ordered
-// it couldn't reach it, and ordered c with a as the former primary. The host hears of the last
-// order only. a is the former of nobody: it lacks what b has acknowledged, and what it is told
-// itself is lost.
+// While a host had no registration, b was promoted and acknowledged writes. The failover
+// coordinator couldn't reach b and requested the promotion of c, with a as the former primary. The
+// host hears of the last promotion only. It must not use a as the former primary: a lacks what b
+// has acknowledged, and what is written to a is lost.
 func TestFormerPrimaryIsNotUsedAfterAMissedPromotion(t *testing.T) {
 	for _, k := range []statement.Kind{statement.KindRead, statement.KindWrite} {
 		t.Run(string(k), func(t *testing.T) {
@@ -87,9 +88,9 @@
 	}
 }
 
-// Two instances have been off the list for long, and the store is lost. They are back for another
-// host, which promotes one. This host still takes the third for the only one that may lead, by a
-// list that is seconds old.
+// Two instances have been off the list for long, and the store is lost. Another host sees them on
+// the list again and promotes one. Guards against a host that still takes the third for the only
+// possible primary, by a list that is seconds old.
 func TestInstanceMissingFromAnOldListMayBePrimary(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
@@ -104,8 +105,8 @@
 	c.Assert(ran["a"], qt.Equals, 0)
 }
 
-// The primary starts anew under its name, and knows nothing of what it led. Its word of before is
-// no word of the one that answers now.
+// The primary restarts under its name and no longer knows that it led. A status from before the
+// restart doesn't hold for the restarted instance.
 func TestRestartedPrimaryIsPolledAgain(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -125,8 +126,8 @@
 	c.Assert(ran["a"], qt.Equals, 0)
 }
 
-// A host without the store has heard from b itself that it leads. A write that it still sent to a
-// would be in doubt; it is refused at once, not run.
+// A host without the store has received from b itself that it leads. A write that it still sent to
+// a would be in doubt, so it must be refused at once, not run.
 func TestWriteIsRefusedOnceASuccessorIsKnown(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -140,8 +141,8 @@
 	c.Assert(w.refreshed > 0, qt.IsTrue)
 }
 
-// Replicas that are cut off from a new primary don't join its term for long. Each host would ask
-// each of them twenty times a second for as long as reads come.
+// Replicas that are cut off from a new primary don't join its term for long. Guards against each
+// host polling each of them twenty times a second for as long as reads arrive.
 func TestReplicaThatDoesNotJoinIsPolledLessOften(t *testing.T) {
 	c := qt.New(t)
 	w := newConnectedWorld(c)
@@ -153,12 +154,13 @@
 	for range 100 {
 		w.readOnce("stock", 100*time.Millisecond, true)
 	}
-	asked := w.relay.State().Counts.Asked - before
-	c.Assert(asked > 0 && asked < 50, qt.IsTrue, qt.Commentf("%d questions to two replicas in 10 s", asked))
+	polled := w.relay.State().Counts.Asked - before
+	c.Assert(polled > 0 && polled < 50, qt.IsTrue, qt.Commentf("%d polls of two replicas in 10 s", polled))
 }
 
-// An order has just become known, and nobody has heard its instance yet. It can't have taken effect:
-// the former primary goes on, unasked.
+// A promotion has just become known, and no response of the promoted instance has been received.
+// The promotion can't have taken effect yet, so the former primary serves without a poll of the
+// other instances.
 func TestFormerPrimaryServesUntilThePromotionCanHaveTakenEffect(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -169,8 +171,8 @@
 	c.Assert(ran["a"], qt.Equals, 1)
 }
 
-// Without a registration an order on its way doesn't free the instances that it doesn't name from
-// being asked: another order may have gone to them.
+// Without a registration, a pending promotion of one instance doesn't exempt the others from being
+// polled: another promotion request may have gone to them.
 func TestPromotionRecordDoesNotVerifyAThirdInstance(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -182,8 +184,8 @@
 	c.Assert(ran["a"], qt.Equals, 0)
 }
 
-// A word comes after a read's begin that was asked for before it: it tells nothing of what was
-// acknowledged in between.
+// A response is received after a read began, but was requested before. It doesn't cover writes that
+// were acknowledged in between.
 func TestResponseToAnEarlierPollDoesNotVerifyALaterRead(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -205,8 +207,8 @@
 	c.Assert(len(a.ran)-before <= 1, qt.IsTrue, qt.Commentf("%v", a.ran[before:]))
 }
 
-// A transaction begins with a write and reads later, on the instance where it began: what holds
-// for its reads has to hold when it begins.
+// A transaction begins with a write and reads later, on the instance where it began. So the
+// conditions for its reads must hold when it begins.
 func TestTransactionThatWritesFirstBeginsWhereItMayRead(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
--- a/core/relay/transaction_test.go
+++ b/core/relay/transaction_test.go
@@ -12,11 +12,9 @@
 	"skylarkdeal/core/statement"
 )
 
-// A transaction has a connection of its own from its first statement to its end: another
-// session of the same account must not run inside it, nor it outside.
-// A caller gets rows under another's values. An instance is busy for a moment, as its log is rolled
-// back to its new primary's, and turns away what was to clear a connection. The connection is at
-// rest again and taken for a cleared one.
+// Guards against a caller that gets rows under another caller's session values. An instance that is
+// rolling its log back to that of its new primary is busy, and rejects the statement that clears a
+// connection. The connection is idle again and was taken for a cleared one.
 func TestConnectionThatWasNotClearedIsNotReused(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -35,6 +33,8 @@
 	c.Assert(a.ran[before:], qt.DeepEquals, []string{"read q1", "read q1"})
 }
 
+// A transaction has a connection of its own from its first statement to its end: another session of
+// the same account must not run inside it, nor the transaction outside of it.
 func TestTransactionKeepsItsConnection(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -59,9 +59,9 @@
 	})
 }
 
-// The primary breaks off in the middle of a transaction that hasn't been told to commit.
-// Nothing of it is kept, so its caller hears that it was rolled back, not that it is in
-// doubt; and a commit of reads alone is in no doubt either.
+// The primary closes the connection in the middle of a transaction, before a commit was sent.
+// Nothing of it is kept, so its caller must learn that it was rolled back, not that it is in doubt.
+// A commit of reads alone is not in doubt either.
 func TestTransactionCutBeforeItsCommitWasRolledBack(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -89,27 +89,27 @@
 	c.Assert(x.last().State, qt.Equals, statement.TxNone)
 }
 
-// Rates count operations, not statements: a transaction is one, whatever its length.
+// Rates count operations, not statements: a transaction is one operation, whatever its length.
 func TestTransactionIsOneOperation(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	asked := 0
-	w.over = func(catalog.Account) (time.Duration, bool) { asked++; return 0, asked < 3 }
+	checks := 0
+	w.over = func(catalog.Account) (time.Duration, bool) { checks++; return 0, checks < 3 }
 	x := w.open("rush", "key-1")
 	x.do(statement.KindBegin, "", "")
 	x.do(statement.KindRead, "", "item")
 	x.do(statement.KindRead, "", "item")
 	x.do(statement.KindCommit, "", "")
-	c.Assert(asked, qt.Equals, 1)
+	c.Assert(checks, qt.Equals, 1)
 	x.do(statement.KindRead, "", "item")
-	c.Assert(asked, qt.Equals, 2)
+	c.Assert(checks, qt.Equals, 2)
 	x.do(statement.KindRead, "", "item")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
 	c.Assert(x.last().State, qt.Equals, statement.TxNone)
 }
 
-// A caller begins, writes and goes away without a sign. Its connection, of which there are
-// few, is given back, and what it wrote is rolled back.
+// A caller begins a transaction, writes and disappears without closing its session. The connection,
+// of which there are few, must be released, and the write rolled back.
 func TestIdleTransactionIsRolledBack(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -122,12 +122,12 @@
 	c.Assert(x.last().Code, qt.Equals, statement.CodeAborted)
 }
 
-// A host is told to end. Sessions at rest are closed once the balancer knows; a
-// transaction gets half of the grace; nothing that was sent is cut.
+// A host is told to shut down. Idle sessions are closed once the balancer knows; a transaction gets
+// half of the grace period; no statement that was sent is cut off.
 func TestShutdownLetsTransactionsEnd(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	resting, tx, slow := w.open("rush", "key-1"), w.open("rush", "key-1"), w.open("rush", "key-1")
+	idle, tx, slow := w.open("rush", "key-1"), w.open("rush", "key-1"), w.open("rush", "key-1")
 	for _, x := range []*caller{tx, slow} {
 		x.do(statement.KindBegin, "", "")
 		x.do(statement.KindWrite, "", "item data")
@@ -135,9 +135,9 @@
 	w.relay.Drain(6 * time.Second)
 	c.Assert(w.relay.Ready(), qt.IsFalse)
 	w.pass(time.Second, true)
-	c.Assert(resting.closed, qt.IsFalse)
+	c.Assert(idle.closed, qt.IsFalse)
 	w.pass(1500*time.Millisecond, true)
-	c.Assert(resting.closed, qt.IsTrue)
+	c.Assert(idle.closed, qt.IsTrue)
 	tx.do(statement.KindCommit, "", "")
 	c.Assert(tx.last().Digest, qt.Equals, "d-a")
 	c.Assert(w.relay.Drained(), qt.IsFalse)
@@ -147,9 +147,9 @@
 	c.Assert(w.relay.Drained(), qt.IsTrue)
 }
 
-// A transaction has written, and its caller sets a value. The primary is replaced, and
-// refuses the value as it refuses all of the transaction. What the caller writes next must
-// not run by itself at the successor: half of the transaction would be kept.
+// A transaction has written, and its caller sets a session value. The primary is replaced and
+// refuses the value, as it refuses all of the transaction. The caller's next write must not run on
+// its own at the successor: half of the transaction would be kept.
 func TestTransactionWhoseValueIsRefusedIsRolledBack(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -172,7 +172,8 @@
 	c.Assert(w.count("rollback"), qt.Equals, 1)
 }
 
-// The same, but the connection breaks while the value is being set.
+// As in TestTransactionWhoseValueIsRefusedIsRolledBack, but the connection breaks while the value
+// is being set.
 func TestTransactionCutWhileItsValueIsSetIsRolledBack(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
