--- a/core/relay/fleet_test.go
+++ b/core/relay/fleet_test.go
@@ -201,7 +201,7 @@
 }
 
 // Guards against hundreds of hosts that all tick at a short interval while one group has no
-// primary. Only a failover coordinator does so.
+// primary. Only the failover coordinator and hosts with connections of their own tick so.
 func TestForwardingHostIsIdleWhileAGroupHasNoPrimary(t *testing.T) {
 	c := qt.New(t)
 	w := newFleetWorld(c, fleetOf(300), 50, 1)
--- a/core/relay/history_test.go
+++ b/core/relay/history_test.go
@@ -115,8 +115,8 @@
 // all that it had received. The second answer is read first, as connections have no order among
 // each other. The log position of the first is below the one that b leads with, so that c, whose
 // log is as short, was taken for fresh. The cause: the time at which an answer was read was
-// compared, not the time of its request. The log of a lagging replica ends far before what it has
-// received; on promotion it ends there.
+// compared, not the time of its request. As a replica, b reports a log that ends far before what it
+// has received; once promoted, its log ends with all of that.
 func TestLogPositionFromBeforeThePromotionIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	w, late := newLateAnswerWorld(c)
--- a/core/relay/primary_test.go
+++ b/core/relay/primary_test.go
@@ -28,9 +28,10 @@
 	c.Assert(x.last().Code, qt.Equals, statement.CodeInDoubt)
 }
 
-// As above, but the promoted instance has written nothing yet: its log still ends in the old term,
-// as a promotion writes no entry. Only its own status shows that it leads. A write was acknowledged
-// and lost when its log position was taken as evidence that it didn't.
+// As in TestWriteOfAReplacedPrimaryIsNotAcknowledged, but the promoted instance has written nothing
+// yet: its log still ends in the old term, as a promotion writes no entry. Only its own status
+// shows that it leads. A host took the log position as evidence that it doesn't, and a write was
+// acknowledged and lost.
 func TestPositionOfAPromotedInstanceVerifiesNothing(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
