--- a/core/relay/transaction_test.go
+++ b/core/relay/transaction_test.go
@@ -76,6 +76,8 @@
 	c.Assert(x.last().State, qt.Equals, statement.TxNone)
 }
 
+// A connection breaks after a commit was sent on it, and before its answer. The commit may have been
+// run, so its caller must learn that it is in doubt.
 func TestCommitThatWasSentIsInDoubt(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
