--- a/core/relay/primary_test.go
+++ b/core/relay/primary_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// checkSilentPrimary checks a statement that is running on a primary when it stops responding, and one
-// that is sent later, for the account of a key.
+// checkSilentPrimary checks two statements for the account of a key: one that is sent to a silent primary
+// before the silence is detected, and one that comes after.
 func checkSilentPrimary(c *qt.C, key catalog.Key) {
 	w := newWorld(c).settled()
 	x := w.open("rush", key)
