--- a/core/relay/evacuation_test.go
+++ b/core/relay/evacuation_test.go
@@ -13,8 +13,8 @@
 	"skylarkdeal/core/statement"
 )
 
-// newSplitWorld returns a world whose primary a and replica b stand in another data centre than the
-// replica c, which is beside the host.
+// newSplitWorld returns a world whose primary a and replica b are in data centre sapporo, and whose
+// replica c is in the data centre of the host.
 func newSplitWorld(c *qt.C) *world {
 	w := newWorld(c)
 	w.instances["a"].far, w.instances["b"].far = true, true
@@ -24,11 +24,12 @@
 	return w
 }
 
-// sent returns what an instance has run after from.
-func (n *node) sent(from int) []string { return n.ran[from:] }
+// ranSince returns what an instance has run since it had run from statements.
+func (n *node) ranSince(from int) []string { return n.ran[from:] }
 
-// forward has another host have a statement run here, and returns the answers.
-func (w *world) forward(i fleet.Instance, q statement.Statement) []statement.Answer {
+// handleForward has the relay handle a statement that another host forwards to it, and returns the
+// answers.
+func (w *world) handleForward(i fleet.Instance, q statement.Statement) []statement.Answer {
 	var got []statement.Answer
 	w.relay.HandleForward(1, relay.Forward{
 		Stream: 1, Service: service, Instance: i, Account: "hotel", Timeout: time.Second, Open: true, Close: true,
@@ -38,7 +39,8 @@
 	return got
 }
 
-// Guards against reads that still reach the instances of a data centre which operators empty.
+// Guards against reads that still reach the instances of a data centre that operators have
+// evacuated.
 func TestReadsLeaveAnEvacuatedDataCentreAtOnce(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -50,10 +52,10 @@
 		w.pass(20*time.Millisecond, true)
 		c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 	}
-	c.Assert(w.instances["b"].sent(before), qt.HasLen, 0)
+	c.Assert(w.instances["b"].ranSince(before), qt.HasLen, 0)
 }
 
-// Guards against a primary that stays in an evacuated data centre because it is well.
+// Guards against a healthy primary that stays in an evacuated data centre.
 func TestEvacuatedPrimaryIsReplacedElsewhere(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -65,8 +67,9 @@
 	c.Assert(w.orders[0].Reason, qt.Equals, leader.ReasonLeaving)
 }
 
-// Guards against orders that end with the evacuation although their primary could go on until its
-// successor leads, and against a primary that goes on for longer than it may.
+// Guards against refused writes as soon as the data centre of the primary is evacuated, although
+// that primary may serve until its successor does. Guards also against a primary that serves for
+// longer than it may.
 func TestEvacuatedPrimaryGoesOnForHalfOfTheTime(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -80,11 +83,12 @@
 	x.do(statement.KindWrite, "", "item data")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
 	c.Assert(x.last().RetryAfter > 0, qt.IsTrue)
-	c.Assert(w.instances["a"].sent(before), qt.HasLen, 0)
+	c.Assert(w.instances["a"].ranSince(before), qt.HasLen, 0)
 }
 
-// Guards against a transaction that holds on to an instance in an evacuated data centre: neither its
-// next statement nor its commit may reach it, and its caller has to know that nothing is kept.
+// Guards against a transaction that keeps using an instance in an evacuated data centre after the
+// time that it is given to end. Neither its next statement nor its commit may reach the instance,
+// and its caller must learn that it was rolled back.
 func TestTransactionInAnEvacuatedDataCentreIsRolledBack(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -101,23 +105,24 @@
 	w.pass(200*time.Millisecond, true)
 	x.do(statement.KindCommit, "", "")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeAborted)
-	c.Assert(w.instances["a"].sent(before), qt.HasLen, 0)
+	c.Assert(w.instances["a"].ranSince(before), qt.HasLen, 0)
 }
 
-// Guards against a host that runs for another one what that one, which doesn't know of the
-// evacuation yet, has sent.
-func TestHolderTurnsAwayWhatIsForAnEvacuatedDataCentre(t *testing.T) {
+// Guards against a holder that runs a statement on an instance in an evacuated data centre for
+// another host, which doesn't know of the evacuation yet.
+func TestHolderRejectsForwardsToAnEvacuatedDataCentre(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
 	w.evacuate("sapporo")
-	got := w.forward("b", statement.Statement{ID: "f1", Kind: statement.KindRead, Text: "item"})
+	got := w.handleForward("b", statement.Statement{ID: "f1", Kind: statement.KindRead, Text: "item"})
 	c.Assert(got, qt.HasLen, 1)
 	c.Assert(got[0].Code, qt.Equals, statement.CodeBusy)
 	c.Assert(w.count("f1"), qt.Equals, 0)
 }
 
-// Guards against an evacuation that is never over, or is undone by an older catalog.
-func TestEvacuationEndsWhenItIsTakenBack(t *testing.T) {
+// Guards against an evacuation that stays in effect after it is revoked, or that is undone by an
+// older catalog.
+func TestWritesResumeOnceTheEvacuationIsRevoked(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
 	old := w.laid
@@ -133,8 +138,7 @@
 	c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 }
 
-// Guards against an evacuation that is put and taken back within a moment and costs a change of
-// primary.
+// Guards against a change of primary that is caused by an evacuation which is revoked at once.
 func TestShortEvacuationChangesNoPrimary(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
@@ -145,9 +149,9 @@
 	c.Assert(w.orders, qt.HasLen, 0)
 }
 
-// Guards against a host that leaves the rotation, or gives orders in circles, when every data centre
-// is evacuated, one of them unknown.
-func TestEvacuationOfAllDataCentresRefusesEverythingTruly(t *testing.T) {
+// Guards against a host that reports that it isn't ready, or requests promotions in a loop, when
+// every data centre is evacuated. One of the evacuated data centres is unknown.
+func TestEvacuationOfAllDataCentresRefusesEveryStatement(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
 	w.relay.SetCoordinator(true)
@@ -165,12 +169,12 @@
 		c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
 	}
 	for n, i := range w.instances {
-		c.Assert(i.sent(before[string(n)]), qt.HasLen, 0)
+		c.Assert(i.ranSince(before[string(n)]), qt.HasLen, 0)
 	}
 }
 
-// Guards against an evacuation during a change of primary whose successor stands there: the group
-// would go on under it.
+// Guards against a primary that stays in an evacuated data centre, because the evacuation began
+// during its promotion.
 func TestSuccessorInAnEvacuatedDataCentreIsReplacedToo(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
--- a/core/relay/homes_test.go
+++ b/core/relay/regions_test.go
@@ -12,8 +12,8 @@
 	"skylarkdeal/core/statement"
 )
 
-// confine has the reads of one database, or one account, enter some regions only.
-func (w *world) confine(db catalog.Database, a fleet.Account, regions ...fleet.Region) {
+// allowRegions restricts a database, or an account, to some regions. An empty name changes none.
+func (w *world) allowRegions(db catalog.Database, a fleet.Account, regions ...fleet.Region) {
 	h := catalog.AllowedRegions{}
 	for _, r := range regions {
 		h[r] = struct{}{}
@@ -36,34 +36,34 @@
 	})
 }
 
-// Guards against data that leaves the regions which its database or its account is allowed.
+// Guards against data that leaves the allowed regions of its database or account.
 func TestStatementsStayInTheirRegions(t *testing.T) {
-	for _, way := range []string{"database", "account"} {
+	for _, restricted := range []string{"database", "account"} {
 		c := qt.New(t)
 		w := newSplitWorld(c)
-		if way == "database" {
-			w.confine("stock", "", "honshu")
+		if restricted == "database" {
+			w.allowRegions("stock", "", "honshu")
 		} else {
-			w.confine("", "hotel", "honshu")
+			w.allowRegions("", "hotel", "honshu")
 		}
 		before := len(w.instances["c"].ran)
 		for range 20 {
 			x := w.open("stock", "key-1")
 			x.do(statement.KindRead, "", "item")
 			w.pass(20*time.Millisecond, true)
-			c.Assert(x.last().Code, qt.Equals, statement.CodeNone, qt.Commentf("%s", way))
+			c.Assert(x.last().Code, qt.Equals, statement.CodeNone, qt.Commentf("%s", restricted))
 		}
-		c.Assert(w.instances["c"].sent(before), qt.HasLen, 0, qt.Commentf("%s", way))
+		c.Assert(w.instances["c"].ranSince(before), qt.HasLen, 0, qt.Commentf("%s", restricted))
 	}
 }
 
-// Guards against a statement that waits for its time limit, or goes abroad, where the regions of its
-// database and its account have no instance in common.
-func TestStatementWithoutARegionIsRefusedAtOnce(t *testing.T) {
+// Guards against a statement that waits for its timeout, or runs outside its allowed regions, where
+// those of its database and of its account have no instance in common.
+func TestStatementWithoutACommonRegionIsRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
-	w.confine("stock", "", "honshu")
-	w.confine("", "hotel", "hokkaido")
+	w.allowRegions("stock", "", "honshu")
+	w.allowRegions("", "hotel", "hokkaido")
 	x := w.open("stock", "key-1")
 	x.do(statement.KindRead, "", "item")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
@@ -74,52 +74,52 @@
 	c.Assert(y.last().Code, qt.Equals, statement.CodeNone)
 }
 
-// Guards against a write that is sent to a primary abroad.
-func TestWriteIsRefusedWhileThePrimaryIsAbroad(t *testing.T) {
+// Guards against a write that is sent to a primary outside the allowed regions.
+func TestWriteIsRefusedWhileThePrimaryIsOutsideItsRegions(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
-	w.confine("rush", "", "hokkaido")
+	w.allowRegions("rush", "", "hokkaido")
 	before := len(w.instances["a"].ran)
 	x := w.open("rush", "key-1")
 	x.do(statement.KindWrite, "", "item data")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
-	c.Assert(w.instances["a"].sent(before), qt.HasLen, 0)
+	c.Assert(w.instances["a"].ranSince(before), qt.HasLen, 0)
 }
 
-// Guards against a statement whose text is told to a host abroad, because that one holds the
-// connections.
-func TestStatementIsNotForwardedAbroad(t *testing.T) {
+// Guards against a statement whose text is sent to a host outside the allowed regions, because that
+// host holds the connections.
+func TestStatementIsNotForwardedOutsideItsRegions(t *testing.T) {
 	c := qt.New(t)
 	w := newSplitWorld(c)
 	w.relay.SetHostCount(12)
-	told := 0
+	forwarded := 0
 	w.relay.SetPeers([]relay.Peer{{
 		Host: "h2", DataCentre: "sapporo", Send: func(f relay.Forward) {
 			for _, q := range f.Statements {
 				if q.Kind != statement.KindStepDown {
-					told++
+					forwarded++
 				}
 			}
 		},
 	}}, 0)
-	w.confine("stock", "", "hokkaido")
+	w.allowRegions("stock", "", "hokkaido")
 	x := w.open("stock", "key-1")
 	x.do(statement.KindRead, "", "item")
 	w.pass(100*time.Millisecond, true)
-	c.Assert(told, qt.Equals, 0)
+	c.Assert(forwarded, qt.Equals, 0)
 	c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 }
 
-// Guards against a promotion that has the writes of a database refused, where another replica has all that
-// the chosen one has.
-func TestReplicaAtHomeIsPromoted(t *testing.T) {
+// Guards against a promotion after which the writes of a database are refused because of its
+// allowed regions, where another replica has the same log and is in an allowed region.
+func TestReplicaInAnAllowedRegionIsPromoted(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
 	w.instances["b"].far = true
 	w.list()
 	w.settled()
 	w.relay.SetCoordinator(true)
-	w.confine("rush", "", "hokkaido")
+	w.allowRegions("rush", "", "hokkaido")
 	w.list("a")
 	w.pass(500*time.Millisecond, true)
 	c.Assert(w.orders, qt.HasLen, 1)
