--- a/core/relay/crowd_test.go
+++ b/core/relay/crowd_test.go
@@ -37,7 +37,7 @@
 
 // The two refusals are one piece of news. The pause before the next try grew with each, and
 // the room that others had left was found a second late.
-func TestRefusalsForWantOfRoomAtOnceCountAsOne(t *testing.T) {
+func TestSimultaneousTooManyRefusalsCountOnce(t *testing.T) {
 	c := qt.New(t)
 	w, _ := crowded(c)
 	dialled := w.instances["a"].dialled
--- a/core/relay/model_test.go
+++ b/core/relay/model_test.go
@@ -22,50 +22,50 @@
 )
 
 const (
-	// modelLength is how long one seed is played, modelSettle how long all is calm first.
-	modelLength = 15 * time.Second
-	modelSettle = time.Second
-	// renewal and registration are how often the host renews its registration, and how long
+	// modelDuration is how long one seed is played, modelSettle how long all is calm first.
+	modelDuration = 15 * time.Second
+	modelWarmUp   = time.Second
+	// renewalInterval and registration are how often the host renews its registration, and how long
 	// that lasts without.
-	renewal      = 300 * time.Millisecond
-	registration = time.Second
-	// promotion is what the platform takes to carry out an order.
-	promotion = time.Second
+	renewalInterval      = 300 * time.Millisecond
+	registrationLifetime = time.Second
+	// promotionDelay is what the platform takes to carry out an order.
+	promotionDelay = time.Second
 )
 
 // leaseState is the host's registration as the store has it.
 type leaseState struct {
 	ended   bool
 	renewed time.Time
-	// entering is set from when the host finds it ended until it has read the records anew.
-	entering bool
+	// registering is set from when the host finds it ended until it has read the records anew.
+	registering bool
 }
 
-// order is one that some other host has given.
-type order struct{ record leader.Record }
+// promotionRequest is one that some other host has given.
+type promotionRequest struct{ record leader.Record }
 
-// customer is one session of the host under test, which does one operation after the other.
-type customer struct {
+// modelSession is one session of the host under test, which does one operation after the other.
+type modelSession struct {
 	m        *model
 	n        int
 	database catalog.Database
 	s        *relay.Session
-	// life counts its sessions: what comes of one that was closed is nothing to the next.
-	life  int
-	busy  bool
-	todo  []statement.Kind
-	begun time.Time
-	count int
-	open  bool
-	last  statement.ID
-	kind  statement.Kind
+	// generation counts its sessions: what comes of one that was closed is nothing to the next.
+	generation int
+	busy       bool
+	remaining  []statement.Kind
+	startedAt  time.Time
+	count      int
+	open       bool
+	lastID     statement.ID
+	kind       statement.Kind
 }
 
 func newModel(seed uint64) *model {
 	m := &model{
 		r: rand.New(rand.NewPCG(seed, 15)), now: time.Unix(2000, 0), began: time.Unix(2000, 0),
 		servers: map[fleet.Instance]*server{}, primary: "a",
-		runs: map[statement.ID]*reading{}, commitOf: map[statement.ID]*commit{},
+		operations: map[statement.ID]*modelOperation{}, commitByID: map[statement.ID]*commit{},
 	}
 	lags := []time.Duration{0, 10 * time.Millisecond, 400 * time.Millisecond, 2500 * time.Millisecond}
 	for _, n := range []fleet.Instance{"a", "b", "c"} {
@@ -74,24 +74,24 @@
 	m.servers["a"].role = fleet.RolePrimary
 	m.relay = relay.New(relay.Config{
 		Host: "h1", DataCentre: "obihiro", Now: func() time.Time { return m.now }, Dial: m.dial,
-		ParseStatus: parseStatus, RefreshRecords: m.refresh, RequestPromotion: func(leader.PromotionRequest) {},
+		ParseStatus: parseStatus, RefreshRecords: m.readRecords, RequestPromotion: func(leader.PromotionRequest) {},
 		Admit: func(catalog.Account) (time.Duration, bool) { return 0, true },
 		LogEvent: func(e relay.Event) {
 			if e.Kind == relay.EventLeader || e.Kind == relay.EventPlace || e.Kind == relay.EventRetry {
-				m.say("host: %s %s %s need %v has %v term %d: %s", e.Choice, e.Instance, e.ID, e.RequiredPoint,
+				m.tracef("host: %s %s %s need %v has %v term %d: %s", e.Choice, e.Instance, e.ID, e.RequiredPoint,
 					e.InstancePoint, e.Term, e.Reason)
 			}
 		},
 	})
 	m.relay.SetCatalog((&world{}).catalog(1))
 	m.relay.SetHostCount(1)
-	m.list()
+	m.listInstances()
 	m.relay.LeaseRenewed(m.now)
 	m.lease.renewed = m.now
 	return m
 }
 
-func (m *model) list() {
+func (m *model) listInstances() {
 	var is []catalog.Instance
 	for _, n := range []fleet.Instance{"a", "b", "c"} {
 		is = append(is, catalog.Instance{
@@ -104,29 +104,29 @@
 
 // every has f done again and again, with a random pause.
 func (m *model) every(least, most int, f func()) {
-	m.after(m.ms(least, most), func() {
+	m.after(m.randomMillis(least, most), func() {
 		f()
 		m.every(least, most, f)
 	})
 }
 
-// play runs one seed to its end.
-func (m *model) play() {
+// run runs one seed to its end.
+func (m *model) run() {
 	m.every(10, 10, m.relay.Tick)
-	m.every(2000, 2000, m.list)
+	m.every(2000, 2000, m.listInstances)
 	m.every(300, 300, m.renew)
 	m.every(3, 60, m.otherWrite)
 	for n := range 12 {
-		c := &customer{m: m, n: n + 1}
+		c := &modelSession{m: m, n: n + 1}
 		c.database = []catalog.Database{"rush", "stock", "standing"}[n%3]
 		m.every(5, 80, c.begin)
 	}
-	m.after(modelSettle, func() {
-		m.every(500, 3500, m.order)
-		m.every(500, 4000, m.cutOff)
+	m.after(modelWarmUp, func() {
+		m.every(500, 3500, m.requestPromotion)
+		m.every(500, 4000, m.partition)
 	})
 	for {
-		at, do, ok := m.agenda.Next(modelLength)
+		at, do, ok := m.queue.Next(modelDuration)
 		if !ok {
 			return
 		}
@@ -139,8 +139,8 @@
 func (m *model) otherWrite() {
 	p := m.primary
 	c := m.write(m.servers[p], 0)
-	m.after(m.ms(1, 15), func() {
-		if m.primary == p && !c.undone {
+	m.after(m.randomMillis(1, 15), func() {
+		if m.primary == p && !c.rolledBack {
 			c.acknowledged = m.now
 		}
 	})
@@ -149,95 +149,95 @@
 // renew renews the host's registration, or enters it anew.
 func (m *model) renew() {
 	sent := m.now
-	m.after(m.ms(0, 30), func() {
-		if m.storeless || m.lease.entering {
+	m.after(m.randomMillis(0, 30), func() {
+		if m.cutFromStore || m.lease.registering {
 			return
 		}
-		if m.lease.ended || m.now.Sub(m.lease.renewed) > registration {
-			m.lease.entering = true
-			m.after(m.ms(0, 30), func() {
+		if m.lease.ended || m.now.Sub(m.lease.renewed) > registrationLifetime {
+			m.lease.registering = true
+			m.after(m.randomMillis(0, 30), func() {
 				m.relay.LeaseLost()
-				m.after(m.ms(5, 250), m.enter)
+				m.after(m.randomMillis(5, 250), m.register)
 			})
 			return
 		}
 		m.lease.renewed = m.now
-		m.after(m.ms(0, 30), func() { m.relay.LeaseRenewed(sent) })
+		m.after(m.randomMillis(0, 30), func() { m.relay.LeaseRenewed(sent) })
 	})
 }
 
-// enter registers the host, and then reads the records.
-func (m *model) enter() {
-	if m.storeless {
-		m.after(m.ms(100, 250), m.enter)
+// register registers the host, and then reads the records.
+func (m *model) register() {
+	if m.cutFromStore {
+		m.after(m.randomMillis(100, 250), m.register)
 		return
 	}
-	m.lease = leaseState{renewed: m.now, entering: true}
+	m.lease = leaseState{renewed: m.now, registering: true}
 	sent := m.now
-	m.after(m.ms(0, 20), func() {
+	m.after(m.randomMillis(0, 20), func() {
 		o := m.record
-		m.after(m.ms(0, 20), func() {
-			m.lease.entering = false
-			m.learn(o)
+		m.after(m.randomMillis(0, 20), func() {
+			m.lease.registering = false
+			m.addRecord(o)
 			m.relay.LeaseRenewed(sent)
 		})
 	})
 }
 
-func (m *model) learn(o *order) {
+func (m *model) addRecord(o *promotionRequest) {
 	if o != nil {
 		m.relay.AddRecord(o.record)
 	}
 }
 
-// refresh has the host read the records.
-func (m *model) refresh() {
-	m.after(m.ms(1, 60), func() {
+// readRecords has the host read the records.
+func (m *model) readRecords() {
+	m.after(m.randomMillis(1, 60), func() {
 		o := m.record
-		if !m.storeless {
-			m.after(m.ms(0, 20), func() { m.learn(o) })
+		if !m.cutFromStore {
+			m.after(m.randomMillis(0, 20), func() { m.addRecord(o) })
 		}
 	})
 }
 
-// order has another host change the primary: it writes the record, ends the registrations of all
+// requestPromotion has another host change the primary: it writes the record, ends the registrations of all
 // others, and tells the platform.
-func (m *model) order() {
-	if m.ordering {
+func (m *model) requestPromotion() {
+	if m.promoting {
 		return
 	}
 	former := m.servers[m.primary]
 	var best *server
 	for _, n := range []fleet.Instance{"a", "b", "c"} {
 		s := m.servers[n]
-		if s != former && !s.cut && s.term == former.term && (best == nil || len(s.log) > len(best.log)) {
+		if s != former && !s.cutFromInstances && s.term == former.term && (best == nil || len(s.log) > len(best.log)) {
 			best = s
 		}
 	}
 	if best == nil {
 		return
 	}
-	m.ordering = true
+	m.promoting = true
 	m.revision++
-	m.record = &order{leader.Record{
+	m.record = &promotionRequest{leader.Record{
 		Service: service, Term: former.term + 1, Primary: best.name, Former: former.name, Revision: m.revision,
 	}}
-	m.say("order: %s after %s", best.name, former.name)
-	m.after(m.ms(1, 40), func() {
+	m.tracef("order: %s after %s", best.name, former.name)
+	m.after(m.randomMillis(1, 40), func() {
 		m.lease.ended = true
-		m.after(m.ms(0, 10)+promotion, func() {
+		m.after(m.randomMillis(0, 10)+promotionDelay, func() {
 			m.promote(best, former.term+1)
-			m.ordering = false
+			m.promoting = false
 		})
 	})
 	if m.r.IntN(2) == 0 {
-		m.after(m.ms(20, 400), m.refresh)
+		m.after(m.randomMillis(20, 400), m.readRecords)
 	}
 }
 
-// cutOff cuts a server off from the others, with the host on either side of the cut, or the host
+// partition cuts a server off from the others, with the host on either side of the cut, or the host
 // from the store alone.
-func (m *model) cutOff() {
+func (m *model) partition() {
 	var heal []func()
 	set := func(b *bool) {
 		if !*b {
@@ -252,22 +252,22 @@
 	}
 	switch what {
 	case 0:
-		set(&m.storeless)
+		set(&m.cutFromStore)
 	case 1:
-		set(&s.cut)
-		set(&s.off)
+		set(&s.cutFromInstances)
+		set(&s.cutFromHost)
 	default:
-		set(&s.cut)
-		set(&m.storeless)
+		set(&s.cutFromInstances)
+		set(&m.cutFromStore)
 		for _, o := range m.servers {
 			if o != s {
-				set(&o.off)
+				set(&o.cutFromHost)
 			}
 		}
 	}
-	m.say("cut %d around %s", what, s.name)
-	m.after(m.ms(300, 4000), func() {
-		m.say("cut %d around %s heals", what, s.name)
+	m.tracef("cut %d around %s", what, s.name)
+	m.after(m.randomMillis(300, 4000), func() {
+		m.tracef("cut %d around %s heals", what, s.name)
 		for _, f := range heal {
 			f()
 		}
@@ -275,30 +275,30 @@
 }
 
 // begin starts the customer's next operation.
-func (c *customer) begin() {
+func (c *modelSession) begin() {
 	if c.busy {
 		return
 	}
 	if c.s == nil {
 		c.connect()
 	}
-	c.busy, c.begun = true, c.m.now
+	c.busy, c.startedAt = true, c.m.now
 	switch d := c.m.r.IntN(10); {
 	case c.database != "stock" && d < 3:
-		c.todo = []statement.Kind{statement.KindWrite}
+		c.remaining = []statement.Kind{statement.KindWrite}
 	case d < 5:
-		c.todo = []statement.Kind{
+		c.remaining = []statement.Kind{
 			statement.KindBeginRead, statement.KindRead, statement.KindRead, statement.KindCommit,
 		}
 	default:
-		c.todo = []statement.Kind{statement.KindRead}
+		c.remaining = []statement.Kind{statement.KindRead}
 	}
 	c.step()
 }
 
-func (c *customer) connect() {
-	c.life++
-	life := c.life
+func (c *modelSession) connect() {
+	c.generation++
+	life := c.generation
 	c.s = c.m.relay.OpenSession(relay.CallerConn{
 		Accept: func() {},
 		Answer: func(a statement.Answer) { c.answered(life, a) },
@@ -307,81 +307,81 @@
 	c.s.Start(c.database, "key-1")
 }
 
-func (c *customer) lost() { c.s, c.busy, c.open = nil, false, false }
+func (c *modelSession) lost() { c.s, c.busy, c.open = nil, false, false }
 
-func (c *customer) step() {
-	if len(c.todo) == 0 {
+func (c *modelSession) step() {
+	if len(c.remaining) == 0 {
 		c.busy = false
 		return
 	}
-	c.kind, c.todo = c.todo[0], c.todo[1:]
+	c.kind, c.remaining = c.remaining[0], c.remaining[1:]
 	c.count++
 	id := statement.ID(fmt.Sprintf("%d-%d", c.n, c.count))
-	c.last = id
-	r := &reading{session: c.n, begun: c.begun}
+	c.lastID = id
+	r := &modelOperation{session: c.n, startedAt: c.startedAt}
 	switch c.database {
 	case "stock":
-		r.age = 1500 * time.Millisecond
+		r.maxAge = 1500 * time.Millisecond
 	case "standing":
-		r.age, r.own = 2500*time.Millisecond, true
+		r.maxAge, r.ownWrites = 2500*time.Millisecond, true
 	}
-	c.m.runs[id] = r
+	c.m.operations[id] = r
 	ends := c.kind == statement.KindCommit || c.kind == statement.KindRollback
 	c.open = c.kind == statement.KindBeginRead || c.open && !ends
 	c.s.Query(statement.Statement{ID: id, Kind: c.kind, Text: "item"})
 }
 
-func (c *customer) answered(life int, a statement.Answer) {
+func (c *modelSession) answered(life int, a statement.Answer) {
 	m := c.m
 	if a.Code != statement.CodeNone {
-		c.todo = nil
+		c.remaining = nil
 		if c.open {
-			c.todo = []statement.Kind{statement.KindRollback}
+			c.remaining = []statement.Kind{statement.KindRollback}
 		}
-	} else if w := m.commitOf[c.last]; w != nil {
+	} else if w := m.commitByID[c.lastID]; w != nil {
 		w.acknowledged = m.now
-		if w.late {
-			m.fault("a write that a replaced primary made was acknowledged: %s %v", c.last, w.point)
+		if w.byFormerPrimary {
+			m.faultf("a write that a replaced primary made was acknowledged: %s %v", c.lastID, w.position)
 		}
 	}
 	if a.Code == statement.CodeNone && c.kind == statement.KindRead {
 		m.served++
 	}
-	m.after(m.ms(0, 30), func() {
-		if c.life == life && c.s != nil {
+	m.after(m.randomMillis(0, 30), func() {
+		if c.generation == life && c.s != nil {
 			c.step()
 		}
 	})
 }
 
-func (m *model) fault(format string, a ...any) {
+func (m *model) faultf(format string, a ...any) {
 	f := fmt.Sprintf(format, a...)
-	m.say("FAULT %s", f)
+	m.tracef("FAULT %s", f)
 	m.faults = append(m.faults, f)
 }
 
-// written takes in that a write of the host under test has run.
-func (m *model) written(id statement.ID, c *commit) {
-	if old := m.commitOf[id]; old != nil {
-		m.fault("write %s ran twice: %v and %v", id, old.point, c.point)
+// recordWrite takes in that a write of the host under test has run.
+func (m *model) recordWrite(id statement.ID, c *commit) {
+	if old := m.commitByID[id]; old != nil {
+		m.faultf("write %s ran twice: %v and %v", id, old.position, c.position)
 	}
-	m.say("write %s ran: %v late %v", id, c.point, c.late)
-	m.commitOf[id] = c
+	m.tracef("write %s ran: %v late %v", id, c.position, c.byFormerPrimary)
+	m.commitByID[id] = c
 }
 
-// ran checks a read where it runs: the log has to hold every commit that was acknowledged before
+// checkRead checks a read where it runs: the log has to hold every commit that was acknowledged before
 // the read began less the age that it accepts, and every one of its own session.
-func (m *model) ran(s *server, id statement.ID) {
-	r := m.runs[id]
+func (m *model) checkRead(s *server, id statement.ID) {
+	r := m.operations[id]
 	for _, c := range m.commits {
-		owed := c.acknowledged.Before(r.begun.Add(-r.age)) || r.own && c.by == r.session && c.acknowledged.Before(r.begun)
-		if c.undone || c.acknowledged.IsZero() || !owed {
+		owed := c.acknowledged.Before(r.startedAt.Add(-r.maxAge)) || r.ownWrites && c.session == r.session && c.acknowledged.Before(r.startedAt)
+		if c.rolledBack || c.acknowledged.IsZero() || !owed {
 			continue
 		}
-		n := int(c.point.Index)
+		n := int(c.position.Index)
 		if n > s.applied || s.log[n-1] != c {
-			m.fault("read %s, begun at %.3f with %v, ran on %s at %v, which lacks %v, acknowledged at %.3f",
-				id, r.begun.Sub(m.began).Seconds(), r.age, s.name, s.point(), c.point, c.acknowledged.Sub(m.began).Seconds())
+			m.faultf("read %s, begun at %.3f with %v, ran on %s at %v, which lacks %v, acknowledged at %.3f",
+				id, r.startedAt.Sub(m.began).Seconds(), r.maxAge, s.name, s.position(), c.position, c.acknowledged.Sub(m.began).Seconds())
 			return
 		}
 	}
@@ -396,7 +396,7 @@
 	served := 0
 	for seed := *modelFirst; seed < *modelFirst+*modelSeeds; seed++ {
 		m := newModel(seed)
-		m.play()
+		m.run()
 		served += m.served
 		if len(m.faults) == 0 {
 			continue
--- a/core/relay/recent_test.go
+++ b/core/relay/recent_test.go
@@ -11,8 +11,8 @@
 	"skylarkdeal/core/statement"
 )
 
-// alone cuts the host off, with some instances, from the others and the store, and lets it notice.
-func (w *world) alone(with ...fleet.Instance) {
+// partitionWith cuts the host off, with some instances, from the others and the store, and lets it notice.
+func (w *world) partitionWith(with ...fleet.Instance) {
 	beside := fleet.NewSet(with...)
 	for n, i := range w.instances {
 		if !beside.Has(n) {
@@ -28,12 +28,12 @@
 
 // Guards against reads of an age that are refused beside a primary which can't be proved to lead any
 // more, although it is known to have led for all that they have to show.
-func TestReadsOfAnAgeAreServedBesideACutOffPrimary(t *testing.T) {
+func TestBoundedReadsAreServedBesideACutOffPrimary(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	x := w.open("standing", "key-1")
 	x.do(statement.KindWrite, "", "own data")
-	w.alone("a")
+	w.partitionWith("a")
 	for _, d := range []catalog.Database{"standing", "stock"} {
 		y := w.open(d, "key-1")
 		y.do(statement.KindRead, "", "item")
@@ -60,14 +60,14 @@
 
 // Guards against reads of an age that lack a point which is young enough after a cut, because the
 // store was away before it.
-func TestPointsAreProvedWhileTheStoreIsAway(t *testing.T) {
+func TestPositionsAreVerifiedWhileTheStoreIsDown(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	for range 30 {
 		w.open("standing", "key-1").do(statement.KindRead, "", "item")
 		w.pass(100*time.Millisecond, false)
 	}
-	w.alone("b")
+	w.partitionWith("b")
 	x := w.open("standing", "key-1")
 	x.do(statement.KindRead, "", "item")
 	w.pass(200*time.Millisecond, false)
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -26,7 +26,7 @@
 	c.Assert(x.last().State, qt.Equals, statement.TxNone)
 }
 
-func TestWhoIsLetIn(t *testing.T) {
+func TestUnknownDatabaseAndKeyAreRejected(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
 	c.Check(w.open("nowhere", "key-1").code, qt.Equals, statement.CodeNoDatabase)
@@ -109,7 +109,7 @@
 
 // Work that an instance turned away unrun is sent to it again, or elsewhere, unseen by its
 // caller.
-func TestTurnedAwayWorkIsRunAgain(t *testing.T) {
+func TestReadRefusedAsBusyIsRunAgain(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.open("rush", "key-1").do(statement.KindRead, "", "for the sample")
@@ -125,7 +125,7 @@
 
 // The only instance that can run a write is full and turns it away. There is nothing to wait
 // for: the caller hears so at once, and comes back while it has the time.
-func TestWorkThatAllTurnedAwayIsRefusedAtOnce(t *testing.T) {
+func TestWriteRefusedByTheOnlyPrimaryFailsAtOnce(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.instances["a"].fail = []statement.Code{statement.CodeBusy}
@@ -138,7 +138,7 @@
 
 // An instance has gone, and another has its address. Its entry is on the list for some more
 // seconds; hosts doubted it, told each other so, and each tried it twenty times a second.
-func TestInstanceWhoseAddressAnotherHasIsLeftAlone(t *testing.T) {
+func TestMisroutedInstanceIsNotRedialled(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
 	w.cut(w.instances["c"])
