--- a/core/relay/crowd_test.go
+++ b/core/relay/crowd_test.go
@@ -12,8 +12,8 @@
 	"skylarkdeal/core/statement"
 )
 
-// crowded returns a world whose primary has turned away connections of two accounts that
-// were begun at once, and has room again; and one caller of each account, who waits.
+// crowded returns a world whose primary has refused connections of two accounts that were
+// opened at the same time, and accepts connections again; and one waiting caller of each account.
 func crowded(c *qt.C) (*world, []*caller) {
 	w := newWorld(c).settled()
 	for _, n := range w.instances {
@@ -35,8 +35,9 @@
 	return w, callers
 }
 
-// The two refusals are one piece of news. The pause before the next try grew with each, and
-// the room that others had left was found a second late.
+// Two connections that were opened at the same time are refused with "too many". Guards against
+// extending the delay before the next attempt for each of the two refusals: connection slots that
+// others had released were found a second late.
 func TestSimultaneousTooManyRefusalsCountOnce(t *testing.T) {
 	c := qt.New(t)
 	w, _ := crowded(c)
@@ -45,10 +46,11 @@
 	c.Assert(w.instances["a"].dialled > dialled, qt.IsTrue)
 }
 
-// Two accounts take turns on the only connection that the primary has room for. The one's
-// statement was to run on a connection that was closed at the same moment to make room for
-// the other's, was never sent, and its caller waited until the time limit: about every second
-// time, by the order in which the accounts were looked at.
+// Two accounts take turns on the only connection that the primary accepts. Guards against
+// assigning a statement of one account to a connection that is being closed at the same time to
+// make room for the other account: the statement was never sent, and its caller waited until the
+// timeout. Depending on the order in which the accounts were checked, this happened in about half
+// of the runs.
 func TestAccountsThatTakeTurnsAreBothServed(t *testing.T) {
 	c := qt.New(t)
 	for range 20 {
@@ -60,8 +62,8 @@
 	}
 }
 
-// Guards against hosts that all start at once and, told that the holder can't reach an instance yet, each
-// make a connection to see for themselves: the instance has no room left for the holder.
+// Guards against hosts that all start at once and, when the holder reports that it can't reach an
+// instance yet, each open a connection to check: the instance has no slot left for the holder.
 func TestHostsThatHaveJustStartedLeaveConnectionsToTheHolder(t *testing.T) {
 	c := qt.New(t)
 	hosts := fleetOf(300)
@@ -80,8 +82,8 @@
 	}
 }
 
-// Guards against a holder that has just started and turns others away, because it has not read the list
-// of instances yet: they would turn to hosts that hold no connections.
+// Guards against a holder that has just started and refuses forwarded statements, because it has not
+// read the list of instances yet: the other hosts would forward to hosts that hold no connections.
 func TestHolderThatHasJustStartedKeepsWhatOthersSend(t *testing.T) {
 	c := qt.New(t)
 	for _, age := range []time.Duration{100 * time.Millisecond, time.Minute} {
--- a/core/relay/model_group_test.go
+++ b/core/relay/model_group_test.go
@@ -12,19 +12,19 @@
 	"skylarkdeal/internal/eventqueue"
 )
 
-// commit is one entry of a log, with what became of it.
+// commit is one log entry of the model, and whether it was acknowledged or rolled back.
 type commit struct {
 	position fleet.LogPosition
-	// session is the session of the host under test that wrote it, zero for another host's.
+	// session is the number of the session that wrote it, zero for a write of another host.
 	session int
-	// acknowledged is when its writer was told, zero if it never was.
+	// acknowledged is when its writer received the answer, zero if it never did.
 	acknowledged time.Time
-	// byFormerPrimary is set if it was made by a primary that had been replaced, rolledBack once a promotion has
-	// rolled it back.
+	// byFormerPrimary is set if it was made by a primary that had been replaced. rolledBack is set for
+	// such a commit, and for one that a promotion has rolled back.
 	byFormerPrimary, rolledBack bool
 }
 
-// server is one instance of the model: a log that is received, and applied up to a length.
+// server is one instance of the model: the log that it has received, and how many entries are applied.
 type server struct {
 	name    fleet.Instance
 	role    fleet.Role
@@ -32,7 +32,8 @@
 	log     []*commit
 	applied int
 	lag     time.Duration
-	// cutFromInstances is set while it is cutFromInstances cutFromHost from the other instances, cutFromHost while from the host.
+	// cutFromInstances is set while it is cut off from the other instances, cutFromHost while it is
+	// cut off from the host.
 	cutFromInstances, cutFromHost bool
 }
 
@@ -43,12 +44,13 @@
 	began time.Time
 	queue eventqueue.Queue
 	relay *relay.Relay
-	// servers by name, primary the one that the platform has promoted last.
+	// servers is keyed by name; primary is the server that the platform has promoted last.
 	servers map[fleet.Instance]*server
 	primary fleet.Instance
 	commits []*commit
 	conns   []*modelConn
-	// revision counts the records; ordering is set from a record to its effect.
+	// revision counts the records; promoting is set from the writing of a record until its promotion
+	// has taken effect.
 	revision  uint64
 	promoting bool
 	record    *promotionRequest
@@ -62,7 +64,7 @@
 	trace        []string
 }
 
-// modelOperation is one read on its way: what it owes is fixed when it begins.
+// modelOperation is one statement of the host under test. What a read has to show is fixed when it starts.
 type modelOperation struct {
 	session   int
 	startedAt time.Time
@@ -70,14 +72,15 @@
 	ownWrites bool
 }
 
-// modelConn is one connection of the host to a server, in the order of which both ends get what is sent.
+// modelConn is one connection of the host to a server. Both ends receive in the order of sending.
 type modelConn struct {
 	m      *model
 	server *server
 	conn   *relay.Conn
-	// arrivesAt is when the last thing sent arrives there, repliesAt when here.
+	// arrivesAt is when the last statement sent reaches the server, repliesAt when the last reply
+	// reaches the host.
 	arrivesAt, repliesAt time.Time
-	// delay is the way in one direction.
+	// delay is the network latency in one direction.
 	delay  time.Duration
 	state  statement.TxState
 	closed bool
@@ -91,7 +94,7 @@
 
 func (m *model) after(d time.Duration, f func()) { m.at(m.now.Add(d), f) }
 
-// randomMillis returns a random time between two numbers of milliseconds.
+// randomMillis returns a random duration between least and most milliseconds.
 func (m *model) randomMillis(least, most int) time.Duration {
 	return time.Duration(least)*time.Millisecond + time.Duration(m.r.Int64N(int64(most-least+1)*int64(time.Millisecond)))
 }
@@ -103,7 +106,7 @@
 	return s.log[s.applied-1].position
 }
 
-// write appends a commit at a server that leads, and sends it to those that follow it.
+// write appends a commit to the log of a primary, and replicates it to the servers that follow it.
 func (m *model) write(s *server, by int) *commit {
 	last := s.position()
 	c := &commit{position: fleet.LogPosition{Term: s.term, Index: last.Index + 1}, session: by}
@@ -120,14 +123,15 @@
 	return c
 }
 
-// replicate has a server receive what another has, if it follows that, and apply it later.
+// replicate sends the log of one server to another that follows it, which applies the log later.
 func (m *model) replicate(from, to *server) {
 	if from.cutFromInstances || to.cutFromInstances || to.role == fleet.RolePrimary || to.term != from.term {
 		return
 	}
 	log := slices.Clone(from.log)
 	m.after(m.randomMillis(0, 3), func() {
-		if from.cutFromInstances || to.cutFromInstances || to.term != from.term || to.role == fleet.RolePrimary || len(log) <= len(to.log) {
+		if from.cutFromInstances || to.cutFromInstances || to.term != from.term ||
+			to.role == fleet.RolePrimary || len(log) <= len(to.log) {
 			return
 		}
 		to.log = log
@@ -140,23 +144,23 @@
 	})
 }
 
-// promote has a server lead a later term with what it had received.
+// promote makes a server the primary of a later term, with the log that it has received.
 func (m *model) promote(s *server, t fleet.Term) {
 	s.role, s.term, s.applied = fleet.RolePrimary, t, len(s.log)
 	m.primary = s.name
 	for _, c := range m.commits {
 		c.rolledBack = c.rolledBack || !slices.Contains(s.log, c)
 	}
-	m.tracef("%s leads term %d from %v", s.name, t, s.position())
+	m.tracef("%s is the primary of term %d from %v", s.name, t, s.position())
 	for _, o := range m.servers {
 		m.followLater(s, o)
 	}
 }
 
-// followLater has a server follow another that leads a later term, once it can reach it. A replica does
-// within a tenth of a second, a primary that was replaced goes on for a second.
-func (m *model) followLater(leads, s *server) {
-	if s == leads || s.term >= leads.term {
+// followLater makes a server follow the primary of a later term once it can reach that. A replica
+// does so within 100 ms; a primary that was replaced goes on for a second.
+func (m *model) followLater(primary, s *server) {
+	if s == primary || s.term >= primary.term {
 		return
 	}
 	wait := m.randomMillis(0, 100)
@@ -165,29 +169,31 @@
 	}
 	m.after(wait, func() {
 		switch {
-		case leads.role != fleet.RolePrimary || s.term >= leads.term:
-		case leads.cutFromInstances || s.cutFromInstances:
-			m.followLater(leads, s)
+		case primary.role != fleet.RolePrimary || s.term >= primary.term:
+		case primary.cutFromInstances || s.cutFromInstances:
+			m.followLater(primary, s)
 		default:
-			m.follow(leads, s)
+			m.follow(primary, s)
 		}
 	})
 }
 
-func (m *model) follow(leads, s *server) {
+func (m *model) follow(primary, s *server) {
 	common := 0
-	for common < min(len(s.log), len(leads.log)) && s.log[common] == leads.log[common] {
+	for common < min(len(s.log), len(primary.log)) && s.log[common] == primary.log[common] {
 		common++
 	}
-	s.role, s.term = fleet.RoleReplica, leads.term
+	s.role, s.term = fleet.RoleReplica, primary.term
 	s.log = slices.Clone(s.log[:common])
 	s.applied = min(s.applied, common)
-	m.replicate(leads, s)
+	m.replicate(primary, s)
 }
 
-// dial makes a connection of the host.
+// dial opens a connection of the host.
 func (m *model) dial(c *relay.Conn) {
-	w := &modelConn{m: m, server: m.servers[c.Instance], conn: c, arrivesAt: m.now, repliesAt: m.now, state: statement.TxNone}
+	w := &modelConn{
+		m: m, server: m.servers[c.Instance], conn: c, arrivesAt: m.now, repliesAt: m.now, state: statement.TxNone,
+	}
 	w.delay = m.randomMillis(0, 2)
 	if m.r.IntN(5) == 0 {
 		w.delay = m.randomMillis(5, 60)
@@ -204,8 +210,8 @@
 	})
 }
 
-// send carries something to the server, behind what was sent before. What comes to a cut waits
-// there until it heals, however long that takes.
+// send runs f when a statement of kind k reaches the server, after all that was sent before. During
+// a network partition it waits until the partition heals, however long that takes.
 func (w *modelConn) send(k statement.Kind, f func()) {
 	work := time.Duration(0)
 	if k == statement.KindRead || k == statement.KindWrite {
@@ -223,13 +229,13 @@
 	w.m.after(w.m.randomMillis(20, 200), func() { w.deliver(f) })
 }
 
-func (w *modelConn) reply(a statement.Answer, give func(a statement.Answer)) {
+func (w *modelConn) reply(a statement.Answer, receive func(a statement.Answer)) {
 	a.State, a.Position = w.state, fleet.Some(w.server.position())
 	w.repliesAt = later(w.repliesAt, w.m.now.Add(w.delay))
 	w.m.at(w.repliesAt, func() {
 		w.deliver(func() {
 			if !w.closed {
-				give(a)
+				receive(a)
 			}
 		})
 	})
@@ -242,7 +248,7 @@
 	return b
 }
 
-// handle has the server do what a statement asks for.
+// handle runs a statement on the server and sends the answer.
 func (w *modelConn) handle(q statement.Statement) {
 	answer := func(a statement.Answer) {
 		w.reply(a, func(a statement.Answer) { w.m.relay.HandleAnswer(w.conn, a) })
--- a/core/relay/model_test.go
+++ b/core/relay/model_test.go
@@ -22,35 +22,38 @@
 )
 
 const (
-	// modelDuration is how long one seed is played, modelSettle how long all is calm first.
+	// modelDuration is the time that one seed simulates, modelWarmUp the part at its start that is
+	// without faults.
 	modelDuration = 15 * time.Second
 	modelWarmUp   = time.Second
-	// renewalInterval and registration are how often the host renews its registration, and how long
-	// that lasts without.
+	// renewalInterval is the interval at which the host renews its registration, registrationLifetime
+	// how long a registration lasts without a renewal.
 	renewalInterval      = 300 * time.Millisecond
 	registrationLifetime = time.Second
-	// promotionDelay is what the platform takes to carry out an order.
+	// promotionDelay is the time that the platform takes to carry out a promotion request.
 	promotionDelay = time.Second
 )
 
-// leaseState is the host's registration as the store has it.
+// leaseState is the state of the host's registration in the store.
 type leaseState struct {
 	ended   bool
 	renewed time.Time
-	// registering is set from when the host finds it ended until it has read the records anew.
+	// registering is set from when the host finds its registration ended until it has registered
+	// again and read the records.
 	registering bool
 }
 
-// promotionRequest is one that some other host has given.
+// promotionRequest is a promotion that another host has requested, with the record that it wrote.
 type promotionRequest struct{ record leader.Record }
 
-// modelSession is one session of the host under test, which does one operation after the other.
+// modelSession is a caller with one session at a time on the host under test. It runs one operation
+// after the other.
 type modelSession struct {
 	m        *model
 	n        int
 	database catalog.Database
 	s        *relay.Session
-	// generation counts its sessions: what comes of one that was closed is nothing to the next.
+	// generation counts its sessions, so that answers to a closed session don't affect the next.
 	generation int
 	busy       bool
 	remaining  []statement.Kind
@@ -102,7 +105,7 @@
 	m.relay.SetInstances(is, m.now)
 }
 
-// every has f done again and again, with a random pause.
+// every runs f repeatedly, at random intervals from least to most milliseconds.
 func (m *model) every(least, most int, f func()) {
 	m.after(m.randomMillis(least, most), func() {
 		f()
@@ -110,7 +113,7 @@
 	})
 }
 
-// run runs one seed to its end.
+// run simulates one seed to its end.
 func (m *model) run() {
 	m.every(10, 10, m.relay.Tick)
 	m.every(2000, 2000, m.listInstances)
@@ -135,7 +138,8 @@
 	}
 }
 
-// otherWrite has another host write. It is told as long as its primary hasn't been replaced.
+// otherWrite makes another host write. The write is acknowledged if its primary hasn't been replaced
+// by then.
 func (m *model) otherWrite() {
 	p := m.primary
 	c := m.write(m.servers[p], 0)
@@ -146,7 +150,7 @@
 	})
 }
 
-// renew renews the host's registration, or enters it anew.
+// renew renews the host's registration, or registers the host again if that has ended.
 func (m *model) renew() {
 	sent := m.now
 	m.after(m.randomMillis(0, 30), func() {
@@ -166,7 +170,7 @@
 	})
 }
 
-// register registers the host, and then reads the records.
+// register registers the host and then makes it read the records.
 func (m *model) register() {
 	if m.cutFromStore {
 		m.after(m.randomMillis(100, 250), m.register)
@@ -190,7 +194,7 @@
 	}
 }
 
-// readRecords has the host read the records.
+// readRecords makes the host read the records, unless it is cut off from the store.
 func (m *model) readRecords() {
 	m.after(m.randomMillis(1, 60), func() {
 		o := m.record
@@ -200,8 +204,8 @@
 	})
 }
 
-// requestPromotion has another host change the primary: it writes the record, ends the registrations of all
-// others, and tells the platform.
+// requestPromotion makes another host change the primary: it writes the record, ends the
+// registrations of all other hosts, and sends the request to the platform.
 func (m *model) requestPromotion() {
 	if m.promoting {
 		return
@@ -222,7 +226,7 @@
 	m.record = &promotionRequest{leader.Record{
 		Service: service, Term: former.term + 1, Primary: best.name, Former: former.name, Revision: m.revision,
 	}}
-	m.tracef("order: %s after %s", best.name, former.name)
+	m.tracef("promotion request: %s after %s", best.name, former.name)
 	m.after(m.randomMillis(1, 40), func() {
 		m.lease.ended = true
 		m.after(m.randomMillis(0, 10)+promotionDelay, func() {
@@ -235,8 +239,8 @@
 	}
 }
 
-// partition cuts a server off from the others, with the host on either side of the cut, or the host
-// from the store alone.
+// partition cuts a server off from the others, with the host on either side of the partition, or
+// cuts only the host off from the store.
 func (m *model) partition() {
 	var heal []func()
 	set := func(b *bool) {
@@ -245,12 +249,12 @@
 			heal = append(heal, func() { *b = false })
 		}
 	}
-	what := m.r.IntN(4)
+	kind := m.r.IntN(4)
 	s := m.servers[[]fleet.Instance{"a", "b", "c"}[m.r.IntN(3)]]
 	if m.r.IntN(2) == 0 {
 		s = m.servers[m.primary]
 	}
-	switch what {
+	switch kind {
 	case 0:
 		set(&m.cutFromStore)
 	case 1:
@@ -265,16 +269,16 @@
 			}
 		}
 	}
-	m.tracef("cut %d around %s", what, s.name)
+	m.tracef("partition %d around %s", kind, s.name)
 	m.after(m.randomMillis(300, 4000), func() {
-		m.tracef("cut %d around %s heals", what, s.name)
+		m.tracef("partition %d around %s heals", kind, s.name)
 		for _, f := range heal {
 			f()
 		}
 	})
 }
 
-// begin starts the customer's next operation.
+// begin starts the session's next operation, unless one is running.
 func (c *modelSession) begin() {
 	if c.busy {
 		return
@@ -360,7 +364,7 @@
 	m.faults = append(m.faults, f)
 }
 
-// recordWrite takes in that a write of the host under test has run.
+// recordWrite records that a write of the host under test has run. A second run is a fault.
 func (m *model) recordWrite(id statement.ID, c *commit) {
 	if old := m.commitByID[id]; old != nil {
 		m.faultf("write %s ran twice: %v and %v", id, old.position, c.position)
@@ -369,29 +373,33 @@
 	m.commitByID[id] = c
 }
 
-// checkRead checks a read where it runs: the log has to hold every commit that was acknowledged before
-// the read began less the age that it accepts, and every one of its own session.
+// checkRead checks a read when a server runs it. The log has to hold every commit that was
+// acknowledged more than the read's maximum age before the read started. If the read has to show its
+// session's own writes, it also has to hold those acknowledged before the read started.
 func (m *model) checkRead(s *server, id statement.ID) {
 	r := m.operations[id]
 	for _, c := range m.commits {
-		owed := c.acknowledged.Before(r.startedAt.Add(-r.maxAge)) || r.ownWrites && c.session == r.session && c.acknowledged.Before(r.startedAt)
-		if c.rolledBack || c.acknowledged.IsZero() || !owed {
+		required := c.acknowledged.Before(r.startedAt.Add(-r.maxAge)) ||
+			r.ownWrites && c.session == r.session && c.acknowledged.Before(r.startedAt)
+		if c.rolledBack || c.acknowledged.IsZero() || !required {
 			continue
 		}
 		n := int(c.position.Index)
 		if n > s.applied || s.log[n-1] != c {
 			m.faultf("read %s, begun at %.3f with %v, ran on %s at %v, which lacks %v, acknowledged at %.3f",
-				id, r.startedAt.Sub(m.began).Seconds(), r.maxAge, s.name, s.position(), c.position, c.acknowledged.Sub(m.began).Seconds())
+				id, r.startedAt.Sub(m.began).Seconds(), r.maxAge, s.name, s.position(), c.position,
+				c.acknowledged.Sub(m.began).Seconds())
 			return
 		}
 	}
 }
 
-// A caller reads what may be of some age, or its own work, or the newest, on a host whose
-// knowledge of the primary is old: changes of primary, cuts, a lost store, late replicas, slow
-// connections and held-up statements come at random. Whatever answers it gets, no read may run on
-// a log that lacks a commit which it owes, and no write be acknowledged that a primary made after
-// it was replaced. One made before may be lost, as replication is asynchronous.
+// Callers read with each consistency (up to a maximum age, own writes, newest) on a host whose
+// knowledge of the primary is out of date. Changes of primary, network partitions, loss of the
+// store, lagging replicas, slow connections and delayed statements come at random. Whatever the
+// answers, no read may run on a log that lacks a commit which the read has to show, and no write
+// may be acknowledged that a primary made after it was replaced. A write made before that may be
+// lost, as replication is asynchronous.
 func TestNoReadRunsWhereItsLogLacksWhatItOwes(t *testing.T) {
 	served := 0
 	for seed := *modelFirst; seed < *modelFirst+*modelSeeds; seed++ {
--- a/core/relay/node_test.go
+++ b/core/relay/node_test.go
@@ -11,7 +11,7 @@
 	"skylarkdeal/core/statement"
 )
 
-// node is one instance.
+// node simulates one instance.
 type node struct {
 	name   fleet.Instance
 	role   fleet.Role
@@ -20,32 +20,33 @@
 	conns  []*link
 	ran    []string
 	silent bool
-	// hold keeps answers back until release is called.
+	// hold keeps answers in pending until it is unset and they are delivered.
 	hold    bool
 	pending []func()
-	// fail answers the next statements that would run with a code.
+	// fail holds the codes that the next statements fail with, one each, instead of running.
 	fail []statement.Code
-	// refuse answers new connections with a code.
+	// refuse is the code that new connections are refused with, empty to accept them.
 	refuse statement.Code
-	away   bool
-	// busy has it turn away whatever is more than a question.
+	// away is set while the list of instances lacks it.
+	away bool
+	// busy makes it refuse all statements but step-downs and rollbacks.
 	busy bool
-	// far puts it in another data centre than the relay's.
+	// far is set if it is in another data centre than the relay.
 	far bool
-	// cold is how much longer it says that it is slow.
+	// cold is for how much longer it reports itself as slow.
 	cold time.Duration
-	// lagged counts the statements that needed a point which the log lacks.
+	// lagged counts the statements that required a log position which the log doesn't cover.
 	lagged int
-	// dialled counts the tries to connect.
+	// dialled counts the connection attempts.
 	dialled int
 }
 
-// link is one connection to a node, as the node sees it.
+// link is the node's end of one connection.
 type link struct {
 	node  *node
 	conn  *relay.Conn
 	state statement.TxState
-	// writes is set in a transaction that only a primary takes.
+	// writes is set in a transaction that only a primary accepts.
 	writes bool
 	values map[string]string
 	names  map[string]statement.Definition
@@ -71,7 +72,7 @@
 	})
 }
 
-// run does what an instance does with a statement.
+// run handles a statement as an instance does, and returns the answer.
 func (n *node) run(l *link, q statement.Statement) statement.Answer {
 	var a statement.Answer
 	if n.busy && q.Kind != statement.KindStepDown && q.Kind != statement.KindRollback {
--- a/core/relay/recent_test.go
+++ b/core/relay/recent_test.go
@@ -11,11 +11,12 @@
 	"skylarkdeal/core/statement"
 )
 
-// partitionWith cuts the host off, with some instances, from the others and the store, and lets it notice.
+// partitionWith cuts off the host and the given instances from the other instances and the store, and
+// runs until the host has detected it.
 func (w *world) partitionWith(with ...fleet.Instance) {
-	beside := fleet.NewSet(with...)
+	reachable := fleet.NewSet(with...)
 	for n, i := range w.instances {
-		if !beside.Has(n) {
+		if !reachable.Has(n) {
 			i.silent = true
 			w.cut(i)
 		}
@@ -26,8 +27,8 @@
 	}
 }
 
-// Guards against reads of an age that are refused beside a primary which can't be proved to lead any
-// more, although it is known to have led for all that they have to show.
+// Guards against refusing bounded reads on a cut-off primary: it can no longer be verified as the
+// primary, but is known to have been the primary until a time recent enough for the reads.
 func TestBoundedReadsAreServedBesideACutOffPrimary(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -43,7 +44,7 @@
 	x.do(statement.KindRead, "", "own")
 	w.pass(200*time.Millisecond, false)
 	c.Check(x.last().Code, qt.Equals, statement.CodeNone)
-	// What has to show everything, or is too old by now, is refused at once.
+	// Reads that have to show every write, or whose maximum age has passed since, are refused at once.
 	y := w.open("rush", "key-1")
 	y.do(statement.KindRead, "", "item")
 	c.Check(y.last().Code, qt.Equals, statement.CodeBusy)
@@ -58,8 +59,8 @@
 	c.Check(u.last().Code, qt.Equals, statement.CodeBusy)
 }
 
-// Guards against reads of an age that lack a point which is young enough after a cut, because the
-// store was away before it.
+// Guards against bounded reads that find no log position recent enough after a network partition,
+// because the store was down before it.
 func TestPositionsAreVerifiedWhileTheStoreIsDown(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -34,9 +34,10 @@
 	c.Check(w.open("rush", "").code, qt.Equals, statement.CodeNoAccount)
 }
 
-// Connections to instances are shared, values are not: a caller would see another's rows.
-// One sets a value and works; the next on the same connection has set another, the last
-// has set none. Each statement must run under the values of its own session.
+// Connections to instances are shared by sessions, their values are not: with the values of
+// another session a caller would see another's rows. Of three sessions on one connection, two
+// set different values and the third sets none. Each statement must run under the values of
+// its own session.
 func TestValuesFollowTheirSession(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -53,7 +54,7 @@
 	})
 }
 
-// Two sessions name different statements alike. Each has to run what it prepared itself.
+// Two sessions prepare different statements under the same name. Each session must run its own.
 func TestPreparedNamesOfSessionsDontCollide(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -69,9 +70,9 @@
 	c.Assert(x.last().Code, qt.Equals, statement.CodeNotPrepared)
 }
 
-// An order is sent, and the connection breaks before its answer. It may have been run: a
-// second run would ship the cream twice, "not run" would be untrue. The caller is told at
-// once that nobody knows.
+// The connection breaks after a write was sent and before its answer arrives. The write may
+// have run, so it must neither be repeated nor reported as not run. The caller receives "in
+// doubt" at once.
 func TestLostWriteIsInDoubtAndNotRepeated(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -88,7 +89,8 @@
 	c.Assert(x.answers, qt.HasLen, 2)
 }
 
-// A read that loses its answer harms nobody when it is run again.
+// The connections break while a read waits for its answer. Reads are safe to repeat, so it is run
+// again on another instance.
 func TestLostReadIsRunElsewhere(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -107,8 +109,8 @@
 	c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 }
 
-// Work that an instance turned away unrun is sent to it again, or elsewhere, unseen by its
-// caller.
+// Instances refuse a read as busy without running it. It is sent again, to the same instance or
+// another, and its caller doesn't notice.
 func TestReadRefusedAsBusyIsRunAgain(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -123,8 +125,8 @@
 	c.Assert(x.last().Code, qt.Equals, statement.CodeNone)
 }
 
-// The only instance that can run a write is full and turns it away. There is nothing to wait
-// for: the caller hears so at once, and comes back while it has the time.
+// The primary, the only instance that can run a write, refuses it as busy. Waiting wouldn't help:
+// the write fails at once, with a time to retry after, so that the caller can retry in time.
 func TestWriteRefusedByTheOnlyPrimaryFailsAtOnce(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -136,8 +138,9 @@
 	c.Assert(x.last().RetryAfter > 0, qt.IsTrue)
 }
 
-// An instance has gone, and another has its address. Its entry is on the list for some more
-// seconds; hosts doubted it, told each other so, and each tried it twenty times a second.
+// An instance has stopped and another has taken its address, while its entry stays on the list
+// for some more seconds. Guards against hosts that suspect the instance, report it to each other
+// as unreachable, and each dial it twenty times a second.
 func TestMisroutedInstanceIsNotRedialled(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -154,8 +157,8 @@
 	c.Assert(w.relay.Unreachable(), qt.HasLen, 0)
 }
 
-// A caller writes, and reads again at once. Replicas are behind; the read has to show the
-// write, so it waits for none of them but goes where the write is.
+// A caller writes and reads at once, while the replicas lag. The read has to show the write, so
+// it goes to the primary and doesn't wait for a replica.
 func TestSessionReadsItsOwnWrites(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -175,8 +178,8 @@
 	c.Assert(x.last().Digest, qt.Not(qt.Equals), "d-a")
 }
 
-// Portal browsing accepts data of an age. A replica that lacks what was acknowledged
-// before that must not serve it, however long it takes to notice.
+// A bounded read accepts data up to a maximum age. A replica that lacks a write which was
+// acknowledged before that must not serve it, however late the relay detects the lag.
 func TestBoundedReadDoesNotUseAReplicaThatIsTooFarBehind(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -194,9 +197,9 @@
 	c.Assert(y.last().Digest, qt.Equals, "d-a")
 }
 
-// Both replicas of a group are seconds behind, and all reads are left to the primary. Each
-// time that the replicas were tried again, all reads that came before the first answer went
-// there, waited for their turn, and came back late with nothing: one read tells as much.
+// Both replicas of a group lag by seconds, and the primary serves all reads. Guards against
+// sending to a replica that is tried again every read that arrives before its first answer:
+// these reads queue there and return late without a result. One read is enough to find the lag.
 func TestReplicaThatLagsIsTriedByOneReadAtATime(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
@@ -226,30 +229,30 @@
 	}
 }
 
-// A key is withdrawn while its caller is connected and rests. The session ends at once;
-// one at work ends with its answer, which is not cut.
+// A key is withdrawn while sessions use it. An idle session ends at once; a session with a
+// statement running ends after the statement's answer, which is delivered whole.
 func TestWithdrawnKeyEndsItsSessions(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c).settled()
-	resting, working, other := w.open("rush", "key-1"), w.open("rush", "key-1"), w.open("rush", "key-2")
+	idle, running, other := w.open("rush", "key-1"), w.open("rush", "key-1"), w.open("rush", "key-2")
 	w.instances["a"].hold = true
-	working.do(statement.KindWrite, "", "item data")
+	running.do(statement.KindWrite, "", "item data")
 	next := w.catalog(2)
 	a := next.Accounts["hotel"]
 	a.Keys = []catalog.Key{"key-2"}
 	next.Accounts["hotel"] = a
 	w.relay.SetCatalog(next)
-	c.Assert(resting.code, qt.Equals, statement.CodeNoAccount)
-	c.Assert(working.closed, qt.IsFalse)
+	c.Assert(idle.code, qt.Equals, statement.CodeNoAccount)
+	c.Assert(running.closed, qt.IsFalse)
 	c.Assert(other.closed, qt.IsFalse)
 	w.instances["a"].hold = false
 	w.deliver()
-	c.Assert(working.last().Digest, qt.Equals, "d-a")
-	c.Assert(working.code, qt.Equals, statement.CodeNoAccount)
+	c.Assert(running.last().Digest, qt.Equals, "d-a")
+	c.Assert(running.code, qt.Equals, statement.CodeNoAccount)
 	c.Assert(w.open("rush", "key-1").code, qt.Equals, statement.CodeNoAccount)
 }
 
-// A catalog that comes late, over another way, must not bring an older version back.
+// A catalog that arrives late by another path must not restore an older version.
 func TestOlderCatalogIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	w := newWorld(c)
@@ -258,11 +261,12 @@
 	c.Assert(w.relay.SetCatalog(w.catalog(5)), qt.IsFalse)
 }
 
-// A cut leaves this host with the replaced primary and without the store; others, which it
-// doesn't hear, are on the better side. It leaves the rotation, and closes its sessions
-// once the balancer knows, so that callers come back elsewhere. When the store is down for
-// all, nobody is better off: nothing is closed. When all hosts believe that others are
-// better off, callers come back; they were closed again and again, and nobody was served.
+// A network partition leaves this host with the replaced primary and without the store; the
+// hosts that it doesn't hear can still serve. It leaves the rotation, and closes its sessions
+// once the balancer has noticed, so that callers reconnect to other hosts. When the store is
+// down for all hosts, no host is better off, and nothing is closed. When all hosts believe that
+// others are better off, callers are sent back to them. Guards against closing these sessions
+// again and again, so that no caller is served.
 func TestHostOnTheWorseSideOfACutLeavesTheRotation(t *testing.T) {
 	c := qt.New(t)
 	for missing, want := range []bool{false, true} {
@@ -270,7 +274,7 @@
 		w.relay.SetInstances(append(w.instancesOf("other", "x"), w.instancesOf("third", "y")...), w.now)
 		w.list()
 		w.settled()
-		rest := w.open("rush", "key-1")
+		idle := w.open("rush", "key-1")
 		w.instances["a"].silent = true
 		w.cut(w.instances["a"])
 		x := w.open("rush", "key-1")
@@ -279,8 +283,8 @@
 		w.pass(2*time.Second, false)
 		c.Assert(w.relay.CutOff(), qt.Equals, want, qt.Commentf("%d missing", missing))
 		w.pass(3*time.Second, false)
-		c.Assert(rest.closed, qt.Equals, want)
-		// Who is sent here all the same has nowhere else to go, and stays.
+		c.Assert(idle.closed, qt.Equals, want)
+		// A session opened after that stays: the balancer had no other host to send it to.
 		next := w.open("rush", "key-1")
 		w.pass(time.Second, false)
 		c.Assert(next.closed, qt.IsFalse)
--- a/core/relay/world_test.go
+++ b/core/relay/world_test.go
@@ -18,26 +18,28 @@
 
 const service fleet.Service = "orders"
 
-// world is one relay before instances that a test answers for by hand, or that answer by
+// world is one relay with simulated instances. A test controls their answers, or they answer by
 // themselves as a healthy group does.
 type world struct {
-	c     *qt.C
-	now   time.Time
-	relay *relay.Relay
-	// instances by name, in the order of their making.
+	c         *qt.C
+	now       time.Time
+	relay     *relay.Relay
 	instances map[fleet.Instance]*node
+	// orders are the promotions that the relay has requested.
 	orders    []leader.PromotionRequest
 	events    []relay.Event
 	refreshed int
 	returned  int
 	// extra are the instances of other services.
 	extra []catalog.Instance
-	over  func(a catalog.Account) (time.Duration, bool)
+	// over replaces the admission by rate if it is set.
+	over func(a catalog.Account) (time.Duration, bool)
 	// laid is the catalog that was adopted last.
 	laid *catalog.Catalog
 }
 
-// revise has operators change the catalog otherwise than by a new version.
+// revise adopts a changed catalog of the same version and the next revision, as after a change by
+// operators that isn't a new version.
 func (w *world) revise(change func(d *catalog.Catalog)) {
 	d := *w.laid
 	d.Revision++
@@ -46,22 +48,22 @@
 	w.relay.SetCatalog(&d)
 }
 
-// evacuate has operators evacuate data centres, and no others.
+// evacuate sets the data centres that operators evacuate, and ends the evacuation of all others.
 func (w *world) evacuate(dcs ...fleet.DataCentre) {
 	w.revise(func(d *catalog.Catalog) { d.Evacuated = fleet.NewSet(dcs...) })
 }
 
-// newWorld returns a relay that has run for some time; newYoungWorld one that has just
-// started.
+// newWorld returns a world whose relay has been running for a minute.
 func newWorld(c *qt.C) *world { return worldAged(c, time.Minute) }
 
+// newYoungWorld returns a world whose relay has just started.
 func newYoungWorld(c *qt.C) *world { return worldAged(c, 0) }
 
 func worldAged(c *qt.C, age time.Duration) *world {
 	return worldOf(c, relay.Peer{Host: "h1", DataCentre: "obihiro"}, age)
 }
 
-// worldOf returns the relay of a host of some age.
+// worldOf returns the world of host h, whose relay started the time age ago.
 func worldOf(c *qt.C, h relay.Peer, age time.Duration) *world {
 	w := &world{c: c, now: time.Unix(1000, 0).Add(-age), instances: map[fleet.Instance]*node{}}
 	w.relay = relay.New(relay.Config{
@@ -121,7 +123,7 @@
 	}
 }
 
-// list tells the relay of the instances as they stand.
+// list passes the current list of instances to the relay.
 func (w *world) list(leaving ...fleet.Instance) {
 	is := slices.Clone(w.extra)
 	for _, name := range []fleet.Instance{"a", "b", "c"} {
@@ -142,7 +144,8 @@
 	w.relay.SetInstances(is, w.now)
 }
 
-// instancesOf makes one instance of another service, which answers as the primary.
+// instancesOf adds one instance of another service, which answers as the primary, and returns the
+// instances of all other services.
 func (w *world) instancesOf(s fleet.Service, name fleet.Instance) []catalog.Instance {
 	w.instances[name] = &node{name: name, role: fleet.RolePrimary, term: 1, point: fleet.LogPosition{Term: 1, Index: 5}}
 	w.extra = append(w.extra, catalog.Instance{
@@ -154,7 +157,7 @@
 
 func (w *world) renew() { w.relay.LeaseRenewed(w.now) }
 
-// pass lets time go by in ticks, with the registration renewed if renewed is set.
+// pass advances the time in ticks of 10 ms, and renews the registration at each if renewed is set.
 func (w *world) pass(d time.Duration, renewed bool) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(10 * time.Millisecond)
@@ -166,7 +169,7 @@
 	}
 }
 
-// deliver has all answers come that are ready.
+// deliver delivers all pending answers that no node holds back.
 func (w *world) deliver() {
 	for busy := true; busy; {
 		busy = false
@@ -178,7 +181,7 @@
 	}
 }
 
-// settled lets the relay find the primary.
+// settled runs until the relay has confirmed the primary.
 func (w *world) settled() *world {
 	w.pass(100*time.Millisecond, true)
 	return w
@@ -207,7 +210,7 @@
 	n.pending = append(n.pending, func() { w.relay.ConnOpened(c, n.answer(l, statement.Answer{})) })
 }
 
-// flush delivers answers, later ones of the same moment too.
+// flush delivers the pending answers of a node, with those that are added meanwhile.
 func (w *world) flush(n *node) {
 	if n.hold {
 		return
@@ -215,13 +218,13 @@
 	for len(n.pending) > 0 {
 		f := n.pending[0]
 		n.pending = n.pending[1:]
-		// No two answers come at the same moment.
+		// No two answers arrive at the same time.
 		w.now = w.now.Add(time.Microsecond)
 		f()
 	}
 }
 
-// parseStatus reads the row that run makes.
+// parseStatus parses the row that node.run returns for a step-down.
 func parseStatus(a statement.Answer) (statement.Status, bool) {
 	var s statement.Status
 	if len(a.Rows) != 1 {
@@ -231,7 +234,7 @@
 	return s, err == nil
 }
 
-// caller is one session.
+// caller is one session with the answers that it received.
 type caller struct {
 	w       *world
 	s       *relay.Session
@@ -254,7 +257,7 @@
 	return c
 }
 
-// do sends a statement and returns its id.
+// do sends a statement, delivers the pending answers and returns the statement's id.
 func (c *caller) do(k statement.Kind, name, text string) statement.ID {
 	c.n++
 	id := statement.ID(fmt.Sprintf("q%d", c.n))
@@ -268,7 +271,7 @@
 	return id
 }
 
-// last returns the last answer.
+// last returns the last answer, with the code "no answer" if there is none.
 func (c *caller) last() statement.Answer {
 	if len(c.answers) == 0 {
 		return statement.Answer{Code: "no answer"}
@@ -276,7 +279,7 @@
 	return c.answers[len(c.answers)-1]
 }
 
-// count returns how often nodes have run what holds text.
+// count returns how many of the statements that nodes have run contain text.
 func (w *world) count(text string) int {
 	n := 0
 	for _, i := range w.instances {
@@ -289,7 +292,7 @@
 	return n
 }
 
-// cut ends all connections to a node, as a crash does.
+// cut breaks all connections to a node, as a crash does.
 func (w *world) cut(n *node) {
 	n.pending = nil
 	for _, l := range slices.Clone(n.conns) {
@@ -301,7 +304,7 @@
 	n.conns = nil
 }
 
-// lose has the primary go dark for this host and lets it notice.
+// lose makes an instance unreachable for this host, and sends a write so that the host detects it.
 func (w *world) lose(n fleet.Instance) {
 	w.instances[n].silent = true
 	w.cut(w.instances[n])
