--- a/core/relay/model_group_test.go
+++ b/core/relay/model_group_test.go
@@ -107,9 +107,9 @@
 }
 
 // write appends a commit to the log of a primary, and replicates it to the servers that follow it.
-func (m *model) write(s *server, by int) *commit {
+func (m *model) write(s *server, session int) *commit {
 	last := s.position()
-	c := &commit{position: fleet.LogPosition{Term: s.term, Index: last.Index + 1}, session: by}
+	c := &commit{position: fleet.LogPosition{Term: s.term, Index: last.Index + 1}, session: session}
 	c.byFormerPrimary = s.name != m.primary
 	c.rolledBack = c.byFormerPrimary
 	s.log = append(s.log, c)
--- a/core/relay/model_test.go
+++ b/core/relay/model_test.go
@@ -302,10 +302,10 @@
 
 func (c *modelSession) connect() {
 	c.generation++
-	life := c.generation
+	generation := c.generation
 	c.s = c.m.relay.OpenSession(relay.CallerConn{
 		Accept: func() {},
-		Answer: func(a statement.Answer) { c.answered(life, a) },
+		Answer: func(a statement.Answer) { c.answered(generation, a) },
 		Reject: func(statement.Code, string) { c.lost() }, Close: c.lost,
 	})
 	c.s.Start(c.database, "key-1")
@@ -335,7 +335,7 @@
 	c.s.Query(statement.Statement{ID: id, Kind: c.kind, Text: "item"})
 }
 
-func (c *modelSession) answered(life int, a statement.Answer) {
+func (c *modelSession) answered(generation int, a statement.Answer) {
 	m := c.m
 	if a.Code != statement.CodeNone {
 		c.remaining = nil
@@ -352,7 +352,7 @@
 		m.served++
 	}
 	m.after(m.randomMillis(0, 30), func() {
-		if c.generation == life && c.s != nil {
+		if c.generation == generation && c.s != nil {
 			c.step()
 		}
 	})
