--- a/io/grants/clock.go
+++ b/io/grants/clock.go
@@ -18,13 +18,13 @@
 	c.now, c.first = now, now()
 }
 
-// early returns the monotonic time.
-func (c *clock) early() time.Time {
+// monotonic returns the monotonic time.
+func (c *clock) monotonic() time.Time {
 	return c.now()
 }
 
-// late returns the time as quota.SuspendAwareClock has it.
-func (c *clock) late() time.Time {
+// suspendAware returns the time as quota.SuspendAwareClock has it.
+func (c *clock) suspendAware() time.Time {
 	t := c.now()
 	wall := t.Round(0).Sub(c.first.Round(0))
 	return c.first.Add(c.clock.Elapsed(wall, t.Sub(c.first)))
--- a/io/grants/consent.go
+++ b/io/grants/consent.go
@@ -13,12 +13,12 @@
 // askConsent asks the witnesses of the held seats whose lease is about to end,
 // with one call for each witness. While the store answers it sends nothing.
 func (r *Runtime) askConsent(ctx context.Context) {
-	for w, names := range r.inNeed() {
+	for w, names := range r.needingConsent() {
 		asks := make([]*hostpb.SeatAsk, len(names))
 		for i, n := range names {
 			asks[i] = &hostpb.SeatAsk{Seat: string(n.name), Tenure: n.tenure}
 		}
-		sent := r.clock.late()
+		sent := r.clock.suspendAware()
 		a, err := r.askWitness(ctx, w, asks)
 		if err != nil {
 			continue
@@ -26,32 +26,32 @@
 		by := quota.Process{Host: w.Host, Epoch: a.GetHello().GetEpoch()}
 		r.mu.Lock()
 		for i, n := range names {
-			if s := r.seats[n.name]; s != nil && a.GetSeats()[i].GetConsented() {
-				s.tenure.Consented(sent, by, n.tenure)
+			if s := r.shardStates[n.name]; s != nil && a.GetSeats()[i].GetConsented() {
+				s.ownership.Consented(sent, by, n.tenure)
 			}
 		}
 		r.mu.Unlock()
 	}
 }
 
-// tenureOf names a tenure of a seat.
-type tenureOf struct {
+// shardTenure names a tenure of a seat.
+type shardTenure struct {
 	name   quota.OwnershipID
 	tenure uint64
 }
 
-// inNeed returns the held seats that need consent, by witness.
-func (r *Runtime) inNeed() map[quota.Process][]tenureOf {
-	out := map[quota.Process][]tenureOf{}
-	now := r.clock.late()
+// needingConsent returns the held seats that need consent, by witness.
+func (r *Runtime) needingConsent() map[quota.Process][]shardTenure {
+	out := map[quota.Process][]shardTenure{}
+	now := r.clock.suspendAware()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for n, s := range r.seats {
-		rec := s.tenure.Record()
-		if !s.tenure.Held() || rec.Witness.Host == "" || now.Before(s.tenure.Until().Add(-consentBefore)) {
+	for n, s := range r.shardStates {
+		rec := s.ownership.Record()
+		if !s.ownership.Held() || rec.Witness.Host == "" || now.Before(s.ownership.Until().Add(-consentLeadTime)) {
 			continue
 		}
-		out[rec.Witness] = append(out[rec.Witness], tenureOf{n, rec.Tenure})
+		out[rec.Witness] = append(out[rec.Witness], shardTenure{n, rec.Tenure})
 	}
 	return out
 }
--- a/io/grants/entries.go
+++ b/io/grants/entries.go
@@ -13,15 +13,15 @@
 	"skylarkdeal/core/roster"
 )
 
-// name is an account of a service.
-type name struct {
+// accountID is an account of a service.
+type accountID struct {
 	service fleet.Service
 	account fleet.Account
 }
 
 // entry is one account as this host spends for it.
 type entry struct {
-	name
+	accountID
 	shard   roster.Shard
 	spender quota.Spender
 	// document is the version in effect.
@@ -37,9 +37,9 @@
 
 // waiter is an exchange that waits for n tokens.
 type waiter struct {
-	n     quota.Tokens
-	limit time.Time
-	done  func(*failure.Refusal)
+	n        quota.Tokens
+	deadline time.Time
+	done     func(*failure.Refusal)
 	// open is set for an exchange of an open transaction.
 	open bool
 }
@@ -80,8 +80,8 @@
 	}
 }
 
-func (r *Runtime) newEntry(n name) *entry {
-	e := &entry{name: n, shard: roster.ShardOf(n.service, n.account)}
+func (r *Runtime) newEntry(n accountID) *entry {
+	e := &entry{accountID: n, shard: roster.ShardOf(n.service, n.account)}
 	e.spender.Host, e.spender.Own = r.cfg.Host, r.cfg.DataCentre
 	return e
 }
@@ -89,7 +89,7 @@
 // change replaces the maps, and returns the document that was in effect and
 // whether d is newer. Accounts that d lacks are gone: their open grants expire by
 // themselves.
-func (e *entries) change(d *document.Document, add func(name) *entry) (old *document.Document, newer bool) {
+func (e *entries) change(d *document.Document, add func(accountID) *entry) (old *document.Document, newer bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	services := map[fleet.Service]map[fleet.Account]*entry{}
@@ -108,7 +108,7 @@
 	for _, a := range d.Accounts {
 		n := former[a.Name]
 		if n == nil {
-			n = add(name{d.Service, a.Name})
+			n = add(accountID{d.Service, a.Name})
 		}
 		n.document.Store(d)
 		accounts[a.Name] = n
--- a/io/grants/grants.go
+++ b/io/grants/grants.go
@@ -48,22 +48,22 @@
 	Logger     *zap.Logger
 	Registerer prometheus.Registerer
 	Journal    *journal.Journal
-	// Patience is the longest that an exchange waits for its tokens; zero takes
+	// AdmissionTimeout is the longest that an exchange waits for its tokens; zero takes
 	// DefaultPatience.
-	Patience time.Duration
+	AdmissionTimeout time.Duration
 }
 
 const (
-	// DefaultPatience is made for a short burst, and for a home that is lost:
+	// DefaultAdmissionTimeout is made for a short burst, and for a home that is lost:
 	// until an ask to it has timed out and another data centre's home has
 	// answered, no token can come. A caller above its rate is refused at once,
 	// as soon as it is known that its token can't come within that time.
-	DefaultPatience = 250 * time.Millisecond
-	// tick is how often the waiting exchanges and the stocks are looked after.
-	tick = 5 * time.Millisecond
-	// arrivals bounds the exchanges on their way to the waiting ones. More than
+	DefaultAdmissionTimeout = 250 * time.Millisecond
+	// serveInterval is how often the waiting exchanges and the stocks are looked after.
+	serveInterval = 5 * time.Millisecond
+	// maxArrivals bounds the exchanges on their way to the waiting ones. More than
 	// that in one tick is far above any host's share of the load.
-	arrivals = 8192
+	maxArrivals = 8192
 	// senders is how many requests to other hosts are in flight at a time.
 	senders = 8
 )
@@ -74,30 +74,30 @@
 	clock   clock
 	metrics metrics
 
-	entries  entries
-	arrivals ring.Ring[arrival]
-	jobs     ring.Ring[job]
-	results  ring.Ring[result]
-	leaves   ring.Ring[chan struct{}]
+	entries       entries
+	arrivals      ring.Ring[arrival]
+	jobs          ring.Ring[requestBatch]
+	results       ring.Ring[result]
+	leaveRequests ring.Ring[chan struct{}]
 	// stopped is set when nobody serves the arrivals any more.
 	stopped atomic.Bool
-	// changing is held while the record of the seats is read and swapped.
-	changing sync.Mutex
-	// rest belongs to the goroutine that keeps the seats.
-	rest time.Time
+	// updateMu is held while the record of the seats is read and swapped.
+	updateMu sync.Mutex
+	// nextCheck belongs to the goroutine that keeps the seats.
+	nextCheck time.Time
 	// out belongs to the serving goroutine.
 	out outbox
 
 	// mu guards what follows: it is held for map look-ups and sums only.
 	mu    sync.Mutex
-	homes map[name]*quota.Home
-	// granted holds the accounts that ever had a home in this process.
-	granted map[name]bool
-	seats   map[quota.OwnershipID]*seat
-	given   map[roster.Shard]given
-	witness quota.Witness
-	lastID  quota.GrantID
-	leaving bool
+	homes map[accountID]*quota.Home
+	// hadHome holds the accounts that ever had a home in this process.
+	hadHome     map[accountID]bool
+	shardStates map[quota.OwnershipID]*shardState
+	released    map[roster.Shard]releasedShard
+	witness     quota.Witness
+	lastID      quota.GrantID
+	leaving     bool
 	// claiming is what Claiming returns.
 	claiming atomic.Bool
 }
@@ -110,31 +110,31 @@
 	if cfg.Logger == nil {
 		cfg.Logger = zap.NewNop()
 	}
-	if cfg.Patience <= 0 {
-		cfg.Patience = DefaultPatience
+	if cfg.AdmissionTimeout <= 0 {
+		cfg.AdmissionTimeout = DefaultAdmissionTimeout
 	}
 	r := &Runtime{
-		cfg:      cfg,
-		arrivals: ring.New[arrival](arrivals),
-		jobs:     ring.New[job](senders * 4),
-		results:  ring.New[result](senders * 8),
-		leaves:   ring.New[chan struct{}](1),
-		homes:    map[name]*quota.Home{},
-		granted:  map[name]bool{},
-		seats:    map[quota.OwnershipID]*seat{},
-		given:    map[roster.Shard]given{},
-		lastID:   firstID(cfg.Host, cfg.Epoch),
+		cfg:           cfg,
+		arrivals:      ring.New[arrival](maxArrivals),
+		jobs:          ring.New[requestBatch](senders * 4),
+		results:       ring.New[result](senders * 8),
+		leaveRequests: ring.New[chan struct{}](1),
+		homes:         map[accountID]*quota.Home{},
+		hadHome:       map[accountID]bool{},
+		shardStates:   map[quota.OwnershipID]*shardState{},
+		released:      map[roster.Shard]releasedShard{},
+		lastID:        firstGrantID(cfg.Host, cfg.Epoch),
 	}
 	r.clock.start(cfg.Now)
-	r.witness.Since = r.clock.late()
+	r.witness.Since = r.clock.suspendAware()
 	r.initMetrics()
 	r.claiming.Store(cfg.Store.List != nil)
 	return r
 }
 
-// firstID makes the ids of a process's grants differ from those that a former
+// firstGrantID makes the ids of a process's grants differ from those that a former
 // home of the same accounts gave out: a report on one of those is then ignored.
-func firstID(h fleet.Host, epoch uint64) quota.GrantID {
+func firstGrantID(h fleet.Host, epoch uint64) quota.GrantID {
 	return quota.GrantID(xxhash.Sum64String(fmt.Sprint(h, epoch)))
 }
 
@@ -142,7 +142,7 @@
 func (r *Runtime) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { r.serve(ctx); return nil })
-	g.Go(func() error { r.keepSeats(ctx); return nil })
+	g.Go(func() error { r.maintainOwnership(ctx); return nil })
 	for range senders {
 		g.Go(func() error { r.send(ctx); return nil })
 	}
@@ -153,13 +153,13 @@
 // reason why not; nothing has been run then. done may be called before Admit
 // returns, and must not block. An exchange without a deadline passes a zero one.
 func (r *Runtime) Admit(s fleet.Service, a fleet.Account, n int, deadline time.Time, done func(*failure.Refusal)) {
-	r.admit(s, a, waiter{n: quota.Tokens(n), limit: deadline, done: done}, r.cfg.Patience)
+	r.admit(s, a, waiter{n: quota.Tokens(n), deadline: deadline, done: done}, r.cfg.AdmissionTimeout)
 }
 
-// openPatience is how long an exchange of an open transaction waits. No more of
+// openTransactionTimeout is how long an exchange of an open transaction waits. No more of
 // an account's transactions are open than it has connections, and these go before
 // its new work, so a token comes for each within a few times 1/rate.
-const openPatience = 2 * time.Second
+const openTransactionTimeout = 2 * time.Second
 
 // AdmitOpen is Admit for an exchange of an open transaction, which goes before
 // the account's new work and isn't refused for want of patience.
@@ -169,7 +169,7 @@
 // again from the start. The bound of rate and burst holds as before, since such an
 // exchange waits for its token too.
 func (r *Runtime) AdmitOpen(s fleet.Service, a fleet.Account, n int, deadline time.Time, done func(*failure.Refusal)) {
-	r.admit(s, a, waiter{n: quota.Tokens(n), limit: deadline, done: done, open: true}, max(openPatience, r.cfg.Patience))
+	r.admit(s, a, waiter{n: quota.Tokens(n), deadline: deadline, done: done, open: true}, max(openTransactionTimeout, r.cfg.AdmissionTimeout))
 }
 
 func (r *Runtime) admit(s fleet.Service, a fleet.Account, w waiter, patience time.Duration) {
@@ -178,20 +178,20 @@
 		w.done(&failure.Refusal{Code: failure.CodeNoService, Message: "not run: no such service or account", Step: "admit"})
 		return
 	}
-	now := r.clock.late()
+	now := r.clock.suspendAware()
 	if e.waiting.Load() == 0 && e.spender.Take(now, w.n) {
 		e.admitted.Add(1)
 		w.done(nil)
 		return
 	}
-	if late := now.Add(patience); w.limit.IsZero() || late.Before(w.limit) {
-		w.limit = late
+	if late := now.Add(patience); w.deadline.IsZero() || late.Before(w.deadline) {
+		w.deadline = late
 	}
 	e.waiting.Add(1)
 	if !r.arrivals.TryPut(arrival{e, w}) {
 		e.waiting.Add(-1)
 		e.refused.Add(1)
-		w.done(overRate(minRetryAfter))
+		w.done(overRateRefusal(minRetryAfter))
 		return
 	}
 	if r.stopped.Load() {
@@ -206,11 +206,11 @@
 		if !ok {
 			return
 		}
-		a.entry.answer(a.waiter, stopping())
+		a.entry.answer(a.waiter, shuttingDownRefusal())
 	}
 }
 
-func stopping() *failure.Refusal {
+func shuttingDownRefusal() *failure.Refusal {
 	return &failure.Refusal{
 		Code: failure.CodeShuttingDown, Message: "not run: the host is shutting down",
 		RetryAfter: minRetryAfter, Step: "admit",
@@ -220,7 +220,7 @@
 // minRetryAfter keeps a refused caller from coming back at once.
 const minRetryAfter = 10 * time.Millisecond
 
-func overRate(after time.Duration) *failure.Refusal {
+func overRateRefusal(after time.Duration) *failure.Refusal {
 	return &failure.Refusal{
 		Code:       failure.CodeOverRate,
 		Message:    "not run: the account is over its rate",
--- a/io/grants/homes.go
+++ b/io/grants/homes.go
@@ -17,12 +17,12 @@
 	out := &hostpb.GrantResponse{Hello: r.hello()}
 	from := fleet.Host(q.GetHello().GetHost())
 	for _, a := range q.GetAsks() {
-		n := name{fleet.Service(a.GetService()), fleet.Account(a.GetAccount())}
+		n := accountID{fleet.Service(a.GetService()), fleet.Account(a.GetAccount())}
 		g, home := r.grant(n, askOf(from, a))
 		out.Answers = append(out.Answers, answerOf(g, home))
 	}
 	for _, s := range q.GetSeats() {
-		out.Seats = append(out.Seats, r.witnessed(s))
+		out.Seats = append(out.Seats, r.handleWitnessRequest(s))
 	}
 	return out
 }
@@ -31,8 +31,8 @@
 	return &hostpb.Hello{Version: 1, Host: string(r.cfg.Host), Epoch: r.cfg.Epoch}
 }
 
-// homeOf says whether this host is the home, and if not, which one may be.
-type homeOf struct {
+// homeStatus says whether this host is the home, and if not, which one may be.
+type homeStatus struct {
 	here bool
 	hint fleet.Host
 }
@@ -42,22 +42,22 @@
 // The right to grant is looked up for each ask with the late clock, before the
 // grant is made. The spender counts a grant's life from before it sent the ask,
 // so a home that is paused after the look-up hands out a grant that has expired.
-func (r *Runtime) grant(n name, a quota.Ask) (quota.Grant, homeOf) {
+func (r *Runtime) grant(n accountID, a quota.Ask) (quota.Grant, homeStatus) {
 	shard := roster.ShardOf(n.service, n.account)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.seats[seatName(r.cfg.DataCentre, shard)]
+	s := r.shardStates[ownershipID(r.cfg.DataCentre, shard)]
 	h := r.homes[n]
-	if s == nil || h == nil || !s.tenure.CanGrant(r.clock.late()) {
-		return quota.Grant{}, homeOf{hint: r.winner(shard)}
+	if s == nil || h == nil || !s.ownership.CanGrant(r.clock.suspendAware()) {
+		return quota.Grant{}, homeStatus{hint: r.preferredHome(shard)}
 	}
-	g := h.Ask(r.clock.early(), a)
+	g := h.Ask(r.clock.monotonic(), a)
 	r.metrics.granted.Add(float64(g.Tokens))
-	return g, homeOf{here: true}
+	return g, homeStatus{here: true}
 }
 
-// winner returns the host to which the duty of home falls, unless it is this.
-func (r *Runtime) winner(h roster.Shard) fleet.Host {
+// preferredHome returns the host to which the duty of home falls, unless it is this.
+func (r *Runtime) preferredHome(h roster.Shard) fleet.Host {
 	here := roster.InDataCentre(r.cfg.Members(), r.cfg.DataCentre)
 	w, ok := roster.DutyHolder(here, roster.Home(r.cfg.DataCentre, h))
 	if !ok || w.Host == r.cfg.Host {
@@ -66,12 +66,12 @@
 	return w.Host
 }
 
-// witnessed answers a SeatAsk.
-func (r *Runtime) witnessed(q *hostpb.SeatAsk) *hostpb.SeatAnswer {
+// handleWitnessRequest answers a SeatAsk.
+func (r *Runtime) handleWitnessRequest(q *hostpb.SeatAsk) *hostpb.SeatAnswer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := quota.OwnershipID(q.GetSeat())
-	now := r.clock.early()
+	now := r.clock.monotonic()
 	if !q.GetWithdraw() {
 		return &hostpb.SeatAnswer{Consented: r.witness.Consent(now, n, q.GetTenure())}
 	}
@@ -84,7 +84,7 @@
 func (r *Runtime) changeHomes(d, old *document.Document) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := r.clock.early()
+	now := r.clock.monotonic()
 	sameList := old == nil || slices.Equal(old.DataCentres, d.DataCentres)
 	for n := range r.homes {
 		if _, ok := d.Account(n.account); n.service == d.Service && !ok {
@@ -92,13 +92,13 @@
 		}
 	}
 	for _, a := range d.Accounts {
-		n := name{d.Service, a.Name}
+		n := accountID{d.Service, a.Name}
 		if h := r.homes[n]; h != nil {
 			h.SetShare(now, d.Version, r.share(d, a), sameList)
 			continue
 		}
-		s := r.seats[seatName(r.cfg.DataCentre, roster.ShardOf(d.Service, a.Name))]
-		if s != nil && s.tenure.Held() {
+		s := r.shardStates[ownershipID(r.cfg.DataCentre, roster.ShardOf(d.Service, a.Name))]
+		if s != nil && s.ownership.Held() {
 			r.startHome(now, n, d, a, 0)
 		}
 	}
@@ -106,16 +106,16 @@
 
 // startHomes begins the homes of all accounts of a shard with what is left of
 // each, before anyone asks: the earlier they start the fuller they are.
-func (r *Runtime) startHomes(h roster.Shard, left []leftover) {
-	now := r.clock.early()
-	tokens := make(map[name]float64, len(left))
+func (r *Runtime) startHomes(h roster.Shard, left []remainingTokens) {
+	now := r.clock.monotonic()
+	tokens := make(map[accountID]float64, len(left))
 	for _, l := range left {
-		tokens[name{l.Service, l.Account}] = l.Tokens
+		tokens[accountID{l.Service, l.Account}] = l.Tokens
 	}
 	r.entries.each(func(e *entry) {
 		d := e.document.Load()
 		if a, ok := d.Account(e.account); ok && e.shard == h {
-			r.startHome(now, e.name, d, a, tokens[e.name])
+			r.startHome(now, e.accountID, d, a, tokens[e.accountID])
 		}
 	})
 }
@@ -125,13 +125,13 @@
 
 // startHome begins one home. In the first tenure that the seat ever had, the
 // first home of an account starts full: nobody can have granted from it before.
-func (r *Runtime) startHome(now time.Time, n name, d *document.Document, a document.Account, left float64) {
+func (r *Runtime) startHome(now time.Time, n accountID, d *document.Document, a document.Account, left float64) {
 	shard := roster.ShardOf(n.service, n.account)
 	share := r.share(d, a)
-	if r.seat(shard).tenure.Record().Tenure == firstTenure && !r.granted[n] {
+	if r.seat(shard).ownership.Record().Tenure == firstTenure && !r.hadHome[n] {
 		left = share.Burst
 	}
-	r.granted[n] = true
+	r.hadHome[n] = true
 	r.lastID += idsPerHome
 	h := &quota.Home{}
 	h.Start(now, d.Version, share, r.lastID, left)
@@ -142,11 +142,11 @@
 const firstTenure = 1
 
 // leftovers returns what the homes of a shard have left.
-func (r *Runtime) leftovers(h roster.Shard) []leftover {
-	var out []leftover
+func (r *Runtime) leftovers(h roster.Shard) []remainingTokens {
+	var out []remainingTokens
 	for n, e := range r.homes {
 		if l := e.State().Level; roster.ShardOf(n.service, n.account) == h && l >= 1 {
-			out = append(out, leftover{n.service, n.account, l})
+			out = append(out, remainingTokens{n.service, n.account, l})
 		}
 	}
 	return out
--- a/io/grants/seats.go
+++ b/io/grants/seats.go
@@ -43,48 +43,48 @@
 // SeatPrefix is where the seats are kept in the store, a key for each data centre.
 const SeatPrefix = "/skylarkdeal/homes/"
 
-func seatName(d fleet.DataCentre, h roster.Shard) quota.OwnershipID {
+func ownershipID(d fleet.DataCentre, h roster.Shard) quota.OwnershipID {
 	return quota.OwnershipID(fmt.Sprintf("%s/%02d", d, h))
 }
 
-// seat is this host's view of one seat of its data centre.
-type seat struct {
-	tenure quota.Ownership
-	claim  quota.Claim
-	// yield is when this host, the holder, first saw another one win the duty.
-	yield time.Time
+// shardState is this host's view of one shardState of its data centre.
+type shardState struct {
+	ownership quota.Ownership
+	claim     quota.Claim
+	// notPreferredSince is when this host, the holder, first saw another one win the duty.
+	notPreferredSince time.Time
 }
 
 const (
-	// restEvery is how often a host looks whether seats that another one holds
+	// idleCheckInterval is how often a host looks whether seats that another one holds
 	// have been given up: few of the calls that it may make of the store.
-	restEvery = 2 * time.Second
-	// seatEvery is how often seats are looked after: half the least time in
+	idleCheckInterval = 2 * time.Second
+	// checkInterval is how often seats are looked after: half the least time in
 	// which a lost host is noticed, so that it adds little to it.
-	seatEvery = 500 * time.Millisecond
+	checkInterval = 500 * time.Millisecond
 	// storeTimeout bounds a call of the store: twice its slowest answers.
 	storeTimeout = 4 * time.Second
-	// consentBefore is how long before its lease ends a holder asks for consent:
+	// consentLeadTime is how long before its lease ends a holder asks for consent:
 	// two rounds of looking after the seats and a failed call in between.
-	consentBefore = 1500 * time.Millisecond
-	// yieldAfter is how long another host has to win the duty of a holder before
+	consentLeadTime = 1500 * time.Millisecond
+	// releaseDelay is how long another host has to win the duty of a holder before
 	// that gives its seat up, so that a roster in motion moves nothing.
-	yieldAfter = 3 * time.Second
+	releaseDelay = 3 * time.Second
 )
 
-// keepSeats is the duty of taking, keeping and giving up seats.
-func (r *Runtime) keepSeats(ctx context.Context) {
+// maintainOwnership is the duty of taking, keeping and giving up seats.
+func (r *Runtime) maintainOwnership(ctx context.Context) {
 	for {
-		r.roundOfSeats(ctx)
-		if !sleep.For(ctx, seatEvery+rand.N(seatEvery/4)) {
+		r.checkOwnership(ctx)
+		if !sleep.For(ctx, checkInterval+rand.N(checkInterval/4)) {
 			return
 		}
 	}
 }
 
-func (r *Runtime) roundOfSeats(ctx context.Context) {
+func (r *Runtime) checkOwnership(ctx context.Context) {
 	if r.cfg.Store.List == nil {
-		r.takeUnfenced()
+		r.acquireUnfenced()
 		return
 	}
 	here := roster.InDataCentre(r.cfg.Members(), r.cfg.DataCentre)
@@ -92,13 +92,13 @@
 	for h := roster.Shard(0); h < roster.Shards; h++ {
 		w, ok := roster.DutyHolder(here, roster.Home(r.cfg.DataCentre, h))
 		mine := ok && w.Host == r.cfg.Host && !w.Leaving
-		renewed := r.renew(h)
-		r.yield(h, mine)
+		renewed := r.syncLease(h)
+		r.releaseIfNotPreferred(h, mine)
 		if mine && !renewed && !r.isLeaving() {
 			claims = append(claims, h)
 		}
 	}
-	r.changeIfDue(ctx, claims)
+	r.updateRecordIfDue(ctx, claims)
 	r.claiming.Store(len(claims) > 0 && !r.isLeaving())
 	r.askConsent(ctx)
 }
@@ -109,29 +109,29 @@
 	return r.claiming.Load()
 }
 
-// changeIfDue changes the record of the seats where there is something to do. A
+// updateRecordIfDue changes the record of the seats where there is something to do. A
 // host whose claims rest, because another one still holds the seats, looks only
 // every restEvery.
-func (r *Runtime) changeIfDue(ctx context.Context, claims []roster.Shard) {
+func (r *Runtime) updateRecordIfDue(ctx context.Context, claims []roster.Shard) {
 	r.mu.Lock()
-	giving := len(r.given) > 0
+	giving := len(r.released) > 0
 	r.mu.Unlock()
-	now := r.clock.early()
-	if !giving && (len(claims) == 0 || now.Before(r.rest)) {
+	now := r.clock.monotonic()
+	if !giving && (len(claims) == 0 || now.Before(r.nextCheck)) {
 		return
 	}
-	moving, err := r.changeSeats(ctx, claims)
+	moving, err := r.updateRecord(ctx, claims)
 	if err != nil {
 		r.cfg.Logger.Warn("seats not changed", zap.Error(err))
 	}
 	if !moving {
-		r.rest = now.Add(restEvery)
+		r.nextCheck = now.Add(idleCheckInterval)
 	}
 }
 
-// takeUnfenced holds every seat that falls to this host by its own roster.
-func (r *Runtime) takeUnfenced() {
-	forever := r.clock.late().Add(time.Hour)
+// acquireUnfenced holds every seat that falls to this host by its own roster.
+func (r *Runtime) acquireUnfenced() {
+	forever := r.clock.suspendAware().Add(time.Hour)
 	here := roster.InDataCentre(r.cfg.Members(), r.cfg.DataCentre)
 	for h := roster.Shard(0); h < roster.Shards; h++ {
 		w, ok := roster.DutyHolder(here, roster.Home(r.cfg.DataCentre, h))
@@ -139,33 +139,33 @@
 		s := r.seat(h)
 		switch {
 		case !ok || w.Host != r.cfg.Host || r.leaving:
-			r.lose(h, s)
-		case s.tenure.Held():
-			s.tenure.LeaseRenewed(0, forever)
+			r.handleLost(h, s)
+		case s.ownership.Held():
+			s.ownership.LeaseRenewed(0, forever)
 		default:
-			s.tenure.Acquired(quota.OwnershipRecord{Holder: r.process()})
-			s.tenure.LeaseRenewed(0, forever)
+			s.ownership.Acquired(quota.OwnershipRecord{Holder: r.process()})
+			s.ownership.LeaseRenewed(0, forever)
 			r.startHomes(h, nil)
 		}
 		r.mu.Unlock()
 	}
 }
 
-func (r *Runtime) seat(h roster.Shard) *seat {
-	n := seatName(r.cfg.DataCentre, h)
-	s := r.seats[n]
+func (r *Runtime) seat(h roster.Shard) *shardState {
+	n := ownershipID(r.cfg.DataCentre, h)
+	s := r.shardStates[n]
 	if s == nil {
-		s = &seat{}
-		r.seats[n] = s
+		s = &shardState{}
+		r.shardStates[n] = s
 	}
 	return s
 }
 
-func (r *Runtime) lose(h roster.Shard, s *seat) {
-	if s.tenure.Held() {
-		s.tenure.Lost()
+func (r *Runtime) handleLost(h roster.Shard, s *shardState) {
+	if s.ownership.Held() {
+		s.ownership.Lost()
 		r.dropHomes(h)
-		r.note(h, "lose", "another host holds it, or it was given up")
+		r.recordDecision(h, "lose", "another host holds it, or it was given up")
 	}
 }
 
@@ -179,28 +179,28 @@
 	return r.leaving
 }
 
-// renew takes over the state of the host's lease, and reports whether the seat
+// syncLease takes over the state of the host's lease, and reports whether the seat
 // is held under that lease and with a live witness, so that nothing has to be
 // written.
-func (r *Runtime) renew(h roster.Shard) bool {
+func (r *Runtime) syncLease(h roster.Shard) bool {
 	lease, until := r.cfg.Store.Lease()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.seat(h)
-	if !s.tenure.Held() {
+	if !s.ownership.Held() {
 		return false
 	}
-	if lease != s.tenure.Record().Lease && !until.IsZero() {
+	if lease != s.ownership.Record().Lease && !until.IsZero() {
 		return false
 	}
-	s.tenure.LeaseRenewed(lease, until)
-	return !r.clock.late().Before(until) || r.witnessServes(s.tenure.Record().Witness)
+	s.ownership.LeaseRenewed(lease, until)
+	return !r.clock.suspendAware().Before(until) || r.witnessUsable(s.ownership.Record().Witness)
 }
 
-// witnessServes reports whether the witness is a live member of the epoch that
+// witnessUsable reports whether the witness is a live member of the epoch that
 // the record names, and as near as any, or there is none to be had. A witness in
 // another data centre is of no use when this one is cut off.
-func (r *Runtime) witnessServes(p quota.Process) bool {
+func (r *Runtime) witnessUsable(p quota.Process) bool {
 	if p == (quota.Process{}) {
 		return r.pickWitness() == p
 	}
@@ -212,48 +212,48 @@
 	return m.DataCentre == r.cfg.DataCentre || best.DataCentre != r.cfg.DataCentre
 }
 
-// yield gives the seat to the host that wins its duty, once that has lasted.
-func (r *Runtime) yield(h roster.Shard, mine bool) {
+// releaseIfNotPreferred gives the seat to the host that wins its duty, once that has lasted.
+func (r *Runtime) releaseIfNotPreferred(h roster.Shard, mine bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.seat(h)
-	now := r.clock.early()
+	now := r.clock.monotonic()
 	if mine {
-		s.yield = time.Time{}
-	} else if s.yield.IsZero() {
-		s.yield = now
+		s.notPreferredSince = time.Time{}
+	} else if s.notPreferredSince.IsZero() {
+		s.notPreferredSince = now
 	}
-	if !mine && s.tenure.Held() && now.Sub(s.yield) >= yieldAfter {
-		r.giveUp(h)
+	if !mine && s.ownership.Held() && now.Sub(s.notPreferredSince) >= releaseDelay {
+		r.release(h)
 	}
 }
 
-// given is a seat that this host has given up, while the store may not know it.
-type given struct {
+// releasedShard is a seat that this host has releasedShard up, while the store may not know it.
+type releasedShard struct {
 	tenure uint64
-	left   []leftover
+	left   []remainingTokens
 }
 
-// giveUp stops granting; the next change of the record says so in the store, with
+// release stops granting; the next change of the record says so in the store, with
 // what the homes have left: the successor need not wait for a lease to end, nor
 // start empty. r.mu is held.
-func (r *Runtime) giveUp(h roster.Shard) {
+func (r *Runtime) release(h roster.Shard) {
 	s := r.seat(h)
-	if !s.tenure.Held() {
+	if !s.ownership.Held() {
 		return
 	}
-	rec := s.tenure.Record()
-	r.given[h] = given{rec.Tenure, r.leftovers(h)}
+	rec := s.ownership.Record()
+	r.released[h] = releasedShard{rec.Tenure, r.leftovers(h)}
 	s.claim.Tried(rec)
-	s.yield = time.Time{}
-	r.lose(h, s)
+	s.notPreferredSince = time.Time{}
+	r.handleLost(h, s)
 }
 
-// heldShards returns the shards whose seats this host holds.
-func (r *Runtime) heldShards() []roster.Shard {
+// ownedShards returns the shards whose seats this host holds.
+func (r *Runtime) ownedShards() []roster.Shard {
 	var out []roster.Shard
 	for h := roster.Shard(0); h < roster.Shards; h++ {
-		if r.seat(h).tenure.Held() {
+		if r.seat(h).ownership.Held() {
 			out = append(out, h)
 		}
 	}
--- a/io/grants/send.go
+++ b/io/grants/send.go
@@ -10,55 +10,55 @@
 	"skylarkdeal/io/host/hostpb"
 )
 
-// ask is one account's ask on its way to a home and back.
-type ask struct {
-	entry  *entry
-	wanted quota.HomeRequest
-	sent   time.Time
-	grant  quota.Grant
-	home   homeOf
-	failed bool
-}
-
-// job is the asks that go to one host together.
-type job struct {
+// tokenRequest is one account's tokenRequest on its way to a home and back.
+type tokenRequest struct {
+	entry   *entry
+	request quota.HomeRequest
+	sent    time.Time
+	grant   quota.Grant
+	home    homeStatus
+	failed  bool
+}
+
+// requestBatch is the asks that go to one host together.
+type requestBatch struct {
 	to   fleet.Member
-	asks []ask
+	asks []tokenRequest
 }
 
 // result is a job's asks with their answers.
-type result = job
+type result = requestBatch
 
 // outbox collects the asks of one round of the serving goroutine by host, and
 // remembers which host was last found to be a home.
 type outbox struct {
-	jobs map[fleet.Host]*job
-	// at is the rank, by roster, of the host that is asked for a seat.
-	at map[quota.OwnershipID]int
-	// known is the host that last granted for a seat, or was hinted at.
-	known map[quota.OwnershipID]fleet.Host
+	jobs map[fleet.Host]*requestBatch
+	// rankOffset is the rank, by roster, of the host that is asked for a seat.
+	rankOffset map[quota.OwnershipID]int
+	// lastHome is the host that last granted for a seat, or was hinted at.
+	lastHome map[quota.OwnershipID]fleet.Host
 }
 
 // queue puts an ask with those that go to the same host, or answers it at once
 // when this host is the home.
 func (r *Runtime) queue(e *entry, w quota.HomeRequest, now time.Time) {
-	a := ask{entry: e, wanted: w, sent: now}
+	a := tokenRequest{entry: e, request: w, sent: now}
 	to, ok := r.target(w.DataCentre, e.shard)
 	if !ok {
 		e.spender.Failed(now, w.DataCentre)
 		return
 	}
 	if to.Host == r.cfg.Host {
-		a.grant, a.home = r.grant(e.name, w.Ask)
-		r.settle(now, a, to.Host)
+		a.grant, a.home = r.grant(e.accountID, w.Ask)
+		r.handleAnswer(now, a, to.Host)
 		return
 	}
 	if r.out.jobs == nil {
-		r.out.jobs = map[fleet.Host]*job{}
+		r.out.jobs = map[fleet.Host]*requestBatch{}
 	}
 	j := r.out.jobs[to.Host]
 	if j == nil {
-		j = &job{to: to}
+		j = &requestBatch{to: to}
 		r.out.jobs[to.Host] = j
 	}
 	j.asks = append(j.asks, a)
@@ -66,18 +66,18 @@
 
 // target returns the host to ask for a shard of data centre d.
 func (r *Runtime) target(d fleet.DataCentre, h roster.Shard) (fleet.Member, bool) {
-	n := seatName(d, h)
+	n := ownershipID(d, h)
 	there := roster.InDataCentre(r.cfg.Members(), d)
 	if len(there) == 0 {
 		return fleet.Member{}, false
 	}
 	for _, m := range there {
-		if m.Host == r.out.known[n] {
+		if m.Host == r.out.lastHome[n] {
 			return m, true
 		}
 	}
 	ranked := roster.RankForDuty(there, roster.Home(d, h))
-	return ranked[r.out.at[n]%len(ranked)], true
+	return ranked[r.out.rankOffset[n]%len(ranked)], true
 }
 
 // flush sends what the round has collected. A host whose answers are slow fills
@@ -86,26 +86,26 @@
 	for h, j := range r.out.jobs {
 		delete(r.out.jobs, h)
 		if !r.jobs.TryPut(*j) {
-			r.failed(*j)
+			r.failBatch(*j)
 		}
 	}
 }
 
 // send is the duty that makes the calls.
 func (r *Runtime) send(ctx context.Context) {
-	r.jobs.Each(ctx, func(j job) {
+	r.jobs.Each(ctx, func(j requestBatch) {
 		r.call(ctx, j)
 		_ = r.results.Put(ctx, j) // fails only once ctx has ended, as this duty then does
 	})
 }
 
 // call fills in the answers of j's asks.
-func (r *Runtime) call(ctx context.Context, j job) {
+func (r *Runtime) call(ctx context.Context, j requestBatch) {
 	ctx, cancel := context.WithTimeout(ctx, quota.AskTimeout)
 	defer cancel()
 	q := &hostpb.GrantRequest{Hello: r.hello(), Asks: make([]*hostpb.GrantAsk, len(j.asks))}
 	for i, a := range j.asks {
-		q.Asks[i] = askMessage(a.entry.name, a.wanted.Ask)
+		q.Asks[i] = askMessage(a.entry.accountID, a.request.Ask)
 	}
 	r.metrics.calls.Inc()
 	p, err := r.cfg.Call(ctx, j.to, q)
@@ -121,60 +121,60 @@
 	}
 }
 
-// answered gives the answers to the spenders and steps their entries.
-func (r *Runtime) answered(busy active, res result) {
-	now := r.clock.late()
+// handleResults gives the answers to the spenders and steps their entries.
+func (r *Runtime) handleResults(busy active, res result) {
+	now := r.clock.suspendAware()
 	for _, a := range res.asks {
 		busy[a.entry] = struct{}{}
-		r.settle(now, a, res.to.Host)
+		r.handleAnswer(now, a, res.to.Host)
 		r.step(a.entry, now)
 	}
 }
 
-// failed answers asks that were not sent.
-func (r *Runtime) failed(j job) {
-	now := r.clock.late()
+// failBatch answers asks that were not sent.
+func (r *Runtime) failBatch(j requestBatch) {
+	now := r.clock.suspendAware()
 	for _, a := range j.asks {
 		a.failed = true
-		r.settle(now, a, j.to.Host)
+		r.handleAnswer(now, a, j.to.Host)
 	}
 }
 
-// settle takes in one answer. A host that isn't the home, or doesn't answer, is
+// handleAnswer takes in one answer. A host that isn't the home, or doesn't answer, is
 // followed by the hint or by the next in rank.
-func (r *Runtime) settle(now time.Time, a ask, from fleet.Host) {
-	n := seatName(a.wanted.DataCentre, a.entry.shard)
+func (r *Runtime) handleAnswer(now time.Time, a tokenRequest, from fleet.Host) {
+	n := ownershipID(a.request.DataCentre, a.entry.shard)
 	if a.home.here && !a.failed {
-		r.out.know(n, from)
-		a.entry.spender.Granted(now, a.sent, a.wanted.DataCentre, a.wanted.Ask, a.grant)
+		r.out.setHome(n, from)
+		a.entry.spender.Granted(now, a.sent, a.request.DataCentre, a.request.Ask, a.grant)
 		return
 	}
-	r.out.next(n, a.home.hint, from)
-	a.entry.spender.Failed(now, a.wanted.DataCentre)
+	r.out.nextHome(n, a.home.hint, from)
+	a.entry.spender.Failed(now, a.request.DataCentre)
 }
 
-func (o *outbox) know(n quota.OwnershipID, h fleet.Host) {
-	if o.known == nil {
-		o.known, o.at = map[quota.OwnershipID]fleet.Host{}, map[quota.OwnershipID]int{}
+func (o *outbox) setHome(n quota.OwnershipID, h fleet.Host) {
+	if o.lastHome == nil {
+		o.lastHome, o.rankOffset = map[quota.OwnershipID]fleet.Host{}, map[quota.OwnershipID]int{}
 	}
-	o.known[n], o.at[n] = h, 0
+	o.lastHome[n], o.rankOffset[n] = h, 0
 }
 
-func (o *outbox) next(n quota.OwnershipID, hint, from fleet.Host) {
-	if hint != "" && hint != from && o.known[n] != hint {
-		at := o.at[n]
-		o.know(n, hint)
-		o.at[n] = at
+func (o *outbox) nextHome(n quota.OwnershipID, hint, from fleet.Host) {
+	if hint != "" && hint != from && o.lastHome[n] != hint {
+		at := o.rankOffset[n]
+		o.setHome(n, hint)
+		o.rankOffset[n] = at
 		return
 	}
-	if o.known == nil {
-		o.know(n, "")
+	if o.lastHome == nil {
+		o.setHome(n, "")
 	}
-	delete(o.known, n)
-	o.at[n]++
+	delete(o.lastHome, n)
+	o.rankOffset[n]++
 }
 
-func askMessage(n name, a quota.Ask) *hostpb.GrantAsk {
+func askMessage(n accountID, a quota.Ask) *hostpb.GrantAsk {
 	m := &hostpb.GrantAsk{
 		Service: string(n.service), Account: string(n.account),
 		Urgent: uint64(max(0, a.Urgent)), Ahead: uint64(max(0, a.Ahead)),
@@ -197,17 +197,17 @@
 	return a
 }
 
-func answerOf(g quota.Grant, h homeOf) *hostpb.GrantAnswer {
+func answerOf(g quota.Grant, h homeStatus) *hostpb.GrantAnswer {
 	return &hostpb.GrantAnswer{
 		Grant: uint64(g.ID), Tokens: uint64(max(0, g.Tokens)), RetryAfterUs: micros(g.RetryAfter),
 		NotHome: !h.here, Home: string(h.hint),
 	}
 }
 
-func grantOf(a *hostpb.GrantAnswer) (quota.Grant, homeOf) {
+func grantOf(a *hostpb.GrantAnswer) (quota.Grant, homeStatus) {
 	g := quota.Grant{
 		ID: quota.GrantID(a.GetGrant()), Tokens: quota.Tokens(a.GetTokens()),
 		RetryAfter: time.Duration(a.GetRetryAfterUs()) * time.Microsecond,
 	}
-	return g, homeOf{here: !a.GetNotHome(), hint: fleet.Host(a.GetHome())}
+	return g, homeStatus{here: !a.GetNotHome(), hint: fleet.Host(a.GetHome())}
 }
--- a/io/grants/serve.go
+++ b/io/grants/serve.go
@@ -21,7 +21,7 @@
 
 // serve is the one duty that owns the waiting exchanges.
 func (r *Runtime) serve(ctx context.Context) {
-	t := time.NewTicker(tick)
+	t := time.NewTicker(serveInterval)
 	defer t.Stop()
 	busy := active{}
 	for {
@@ -35,13 +35,13 @@
 			r.refuseAll(busy)
 			return
 		case a := <-r.arrivals.Out():
-			r.arrive(busy, a)
+			r.enqueue(busy, a)
 		case res := <-r.results.Out():
-			r.answered(busy, res)
+			r.handleResults(busy, res)
 		case <-due:
-			r.lookAfter(busy)
-		case returned := <-r.leaves.Out():
-			r.giveBack()
+			r.stepActive(busy)
+		case returned := <-r.leaveRequests.Out():
+			r.returnTokens()
 			close(returned)
 		}
 		r.drain(busy)
@@ -52,28 +52,28 @@
 // drain takes what has come meanwhile, so that one request to a home carries the
 // wants of many exchanges.
 func (r *Runtime) drain(busy active) {
-	for range arrivals {
+	for range maxArrivals {
 		select {
 		case a := <-r.arrivals.Out():
-			r.arrive(busy, a)
+			r.enqueue(busy, a)
 		case res := <-r.results.Out():
-			r.answered(busy, res)
+			r.handleResults(busy, res)
 		default:
 			return
 		}
 	}
 }
 
-func (r *Runtime) arrive(busy active, a arrival) {
+func (r *Runtime) enqueue(busy active, a arrival) {
 	busy[a.entry] = struct{}{}
 	e := a.entry
-	now := r.clock.late()
+	now := r.clock.suspendAware()
 	if a.waiter.open {
 		e.waiters = slices.Insert(e.waiters, e.open(), a.waiter)
 		r.step(e, now)
 		return
 	}
-	if e.hopeless(now, a.waiter) {
+	if e.cannotMeetDeadline(now, a.waiter) {
 		e.answer(a.waiter, e.refusal(now))
 		return
 	}
@@ -128,17 +128,17 @@
 	w.done(f)
 }
 
-// hopeless reports whether w can't get its tokens before its limit, with all
+// cannotMeetDeadline reports whether w can't get its tokens before its limit, with all
 // that wait before it. It is made for an account that sends many times its rate:
 // what is above the rate is answered at once, and no more wait than the rate
 // serves within their patience, so that the others wait no longer than that.
-func (e *entry) hopeless(now time.Time, w waiter) bool {
-	return now.Add(e.soonest(now, e.wanted()+w.n)).After(w.limit)
+func (e *entry) cannotMeetDeadline(now time.Time, w waiter) bool {
+	return now.Add(e.minWait(now, e.wanted()+w.n)).After(w.deadline)
 }
 
-// soonest returns the least time until n tokens may have come, if no other host
+// minWait returns the least time until n tokens may have come, if no other host
 // wanted any.
-func (e *entry) soonest(now time.Time, n quota.Tokens) time.Duration {
+func (e *entry) minWait(now time.Time, n quota.Tokens) time.Duration {
 	a, ok := e.document.Load().Account(e.account)
 	if !ok {
 		return time.Second
@@ -147,7 +147,7 @@
 }
 
 func (e *entry) refusal(now time.Time) *failure.Refusal {
-	return overRate(e.soonest(now, e.wanted()+1))
+	return overRateRefusal(e.minWait(now, e.wanted()+1))
 }
 
 // refuseLate refuses from the end those that can't be served in time, as they
@@ -156,13 +156,13 @@
 	for n := len(e.waiters); n > 0; n = len(e.waiters) {
 		w := e.waiters[n-1]
 		e.waiters = e.waiters[:n-1]
-		if w.open || !e.hopeless(now, w) {
+		if w.open || !e.cannotMeetDeadline(now, w) {
 			e.waiters = append(e.waiters, w)
 			break
 		}
 		e.answer(w, e.refusal(now))
 	}
-	for len(e.waiters) > 0 && !now.Before(e.waiters[0].limit) {
+	for len(e.waiters) > 0 && !now.Before(e.waiters[0].deadline) {
 		w := e.waiters[0]
 		e.waiters = e.waiters[1:]
 		e.answer(w, e.refusal(now))
@@ -170,23 +170,23 @@
 }
 
 const (
-	// restAfter is how long an entry without exchanges is still looked after.
-	restAfter = time.Second
-	// stockEvery is how often the stock of an entry without waiting exchanges is
+	// idleTimeout is how long an entry without exchanges is still looked after.
+	idleTimeout = time.Second
+	// stockCheckInterval is how often the stock of an entry without waiting exchanges is
 	// looked at: a quarter of the time for which stock is laid in.
-	stockEvery = 25 * time.Millisecond
+	stockCheckInterval = 25 * time.Millisecond
 )
 
-// lookAfter steps the active entries, and lets those rest that have been idle.
-func (r *Runtime) lookAfter(busy active) {
-	now := r.clock.late()
+// stepActive steps the active entries, and lets those rest that have been idle.
+func (r *Runtime) stepActive(busy active) {
+	now := r.clock.suspendAware()
 	for e := range busy {
-		if len(e.waiters) == 0 && now.Sub(e.checked) < stockEvery {
+		if len(e.waiters) == 0 && now.Sub(e.checked) < stockCheckInterval {
 			continue
 		}
 		e.checked = now
 		r.step(e, now)
-		if len(e.waiters) == 0 && e.spender.Idle(now, restAfter) {
+		if len(e.waiters) == 0 && e.spender.Idle(now, idleTimeout) {
 			delete(busy, e)
 		}
 	}
@@ -198,7 +198,7 @@
 	r.refuseArrivals()
 	for e := range busy {
 		for _, w := range e.waiters {
-			e.answer(w, stopping())
+			e.answer(w, shuttingDownRefusal())
 		}
 		e.waiters = nil
 	}
--- a/io/grants/state.go
+++ b/io/grants/state.go
@@ -97,9 +97,9 @@
 	for n, h := range r.homes {
 		s.Homes = append(s.Homes, HomeState{n.service, n.account, h.State()})
 	}
-	for n, e := range r.seats {
-		if e.tenure.Held() {
-			s.Seats[n] = e.tenure.Record()
+	for n, e := range r.shardStates {
+		if e.ownership.Held() {
+			s.Seats[n] = e.ownership.Record()
 		}
 	}
 	slices.SortFunc(s.Accounts, func(a, b AccountState) int {
@@ -117,43 +117,43 @@
 func (r *Runtime) Leave(ctx context.Context) {
 	r.mu.Lock()
 	r.leaving = true
-	for _, h := range r.heldShards() {
-		r.giveUp(h)
+	for _, h := range r.ownedShards() {
+		r.release(h)
 	}
 	r.mu.Unlock()
 	returned := make(chan struct{})
-	if r.leaves.Put(ctx, returned) == nil {
+	if r.leaveRequests.Put(ctx, returned) == nil {
 		select {
 		case <-returned:
 		case <-ctx.Done():
 		}
 	}
-	r.writeGiven(ctx)
+	r.writeReleases(ctx)
 }
 
-// writeGiven writes the seats that were given up, or leaves it to the end of the
+// writeReleases writes the seats that were given up, or leaves it to the end of the
 // lease when the store can't be reached.
-func (r *Runtime) writeGiven(ctx context.Context) {
-	for range leaveTries {
+func (r *Runtime) writeReleases(ctx context.Context) {
+	for range maxLeaveAttempts {
 		r.mu.Lock()
-		done := len(r.given) == 0
+		done := len(r.released) == 0
 		r.mu.Unlock()
 		if done || r.cfg.Store.List == nil {
 			return
 		}
-		if _, err := r.changeSeats(ctx, nil); err != nil {
+		if _, err := r.updateRecord(ctx, nil); err != nil {
 			r.cfg.Logger.Warn("seats not given up", zap.Error(err))
 		}
 	}
 }
 
-// leaveTries bounds the tries: one more may be needed for each host of the data
+// maxLeaveAttempts bounds the tries: one more may be needed for each host of the data
 // centre that changes the record at the same time.
-const leaveTries = 3
+const maxLeaveAttempts = 3
 
-// giveBack sends all unspent tokens to their homes.
-func (r *Runtime) giveBack() {
-	now := r.clock.late()
+// returnTokens sends all unspent tokens to their homes.
+func (r *Runtime) returnTokens() {
+	now := r.clock.suspendAware()
 	r.entries.each(func(e *entry) {
 		for _, w := range e.spender.ReturnAll() {
 			r.queue(e, w, now)
