--- a/io/grants/claims.go
+++ b/io/grants/claims.go
@@ -18,50 +18,52 @@
 	"skylarkdeal/io/host/hostpb"
 )
 
-// ownershipTable is the record of a data centre's seats. They stand in one record,
-// so that a host that starts or leaves takes or gives up all of its seats with
-// one read and one swap, however many there are; 32 swaps would use up the calls
-// that a host may make in ten seconds. Hosts that change the record at once lose
-// a round.
+// ownershipTable is the stored record of the ownership of a data centre's shards. All
+// shards are in one record, so that a host that starts or leaves acquires or
+// releases all of its shards with one read and one swap, whatever their number; 32
+// swaps would use up the calls that a host may make in ten seconds. When several
+// hosts change the record at the same time, one succeeds and the others try again
+// in their next round.
 type ownershipTable map[string]storedOwnership
 
-// storedOwnership is a seat as the store has it.
+// storedOwnership is the ownership of one shard as stored.
 type storedOwnership struct {
 	quota.OwnershipRecord
-	// Left is what the homes had when the last holder gave the seat up.
+	// Left holds the tokens in the homes when the last owner released the shard.
 	Left []remainingTokens `json:"left,omitempty"`
 }
 
-// remainingTokens is the tokens of one account that a home had left.
+// remainingTokens is the number of tokens left in the home of one account.
 type remainingTokens struct {
 	Service fleet.Service `json:"service"`
 	Account fleet.Account `json:"account"`
 	Tokens  float64       `json:"tokens"`
 }
 
-// recordUpdate is a recordUpdate of the record in the making.
+// recordUpdate is an update of the ownership record that is being prepared.
 type recordUpdate struct {
 	table ownershipTable
 	// oldRevision is the revision of the record that was read.
 	oldRevision uint64
 	lease       uint64
-	// acquired holds the seats that the change takes, with what is left of each.
+	// acquired holds the shards that the update acquires, with the tokens left in each.
 	acquired map[roster.Shard][]remainingTokens
 	released []roster.Shard
-	// dirty is set when there is something to write, pending when a claim goes on
-	// without it.
+	// dirty is set when there is something to write, pending when a claim continues
+	// without a write.
 	dirty, pending bool
-	// validLeases remembers which holders' leases stand.
+	// validLeases caches whether the leases of other owners are valid.
 	validLeases map[quota.OwnershipRecord]bool
-	// withdraw holds the seats whose consent is to be withdrawn, by witness.
+	// withdraw holds the shards whose consent is to be withdrawn, by witness.
 	withdraw map[quota.Process][]roster.Shard
 }
 
-// updateRecord claims and gives up seats with one read and one swap, and reports
-// whether anything is under way, so that the next round shouldn't wait.
+// updateRecord claims and releases shards with one read and one swap, and reports
+// whether any claim or release is in progress, so that the next round follows
+// without delay.
 //
-// One change is made at a time: were the answer to one taken in after a later one
-// has given the seat up, its homes would start again with the same tokens.
+// One update is made at a time. If the answer to one were processed after a later
+// one has released the shard, its homes would start again with the same tokens.
 func (r *Runtime) updateRecord(ctx context.Context, claims []roster.Shard) (moving bool, err error) {
 	r.updateMu.Lock()
 	defer r.updateMu.Unlock()
@@ -115,9 +117,9 @@
 	return c, nil
 }
 
-// planReleases puts the seats that this host has given up into the change, until
-// the record no longer names this host. If a swap of its own has landed since, the
-// record is of a later tenure; nobody has granted in that one.
+// planReleases adds the shards that this host has released to the update, until the
+// record no longer names this host. If a swap by this host has succeeded since, the
+// record is of a later tenure; nothing has been granted in that one.
 func (r *Runtime) planReleases(c *recordUpdate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,7 +138,7 @@
 	}
 }
 
-// planClaim takes one step towards a seat.
+// planClaim takes the next step of the claim of a shard.
 func (r *Runtime) planClaim(ctx context.Context, c *recordUpdate, h roster.Shard) error {
 	read := c.table[shardKey(h)]
 	stands, err := r.leaseValid(ctx, read.OwnershipRecord, c.validLeases)
@@ -166,11 +168,12 @@
 	return nil
 }
 
-// planSwap puts this host into the record of a seat. Until the answer a holder
-// counts on its lease alone (see Ownership.BeginSwap).
+// planSwap enters this host as the owner in the record of a shard. Until the answer
+// arrives, an owner relies on its lease alone (see Ownership.BeginSwap).
 //
-// The tokens that a predecessor left are used by the one whose swap of that very
-// record is known to have gone through, and the swap removes them: so never twice.
+// The tokens that a predecessor left are used only by the host whose swap of that
+// very record is known to have succeeded, and the swap removes them, so they are
+// never used twice.
 func (r *Runtime) planSwap(c *recordUpdate, h roster.Shard, read storedOwnership, left []remainingTokens) {
 	s := r.seat(h)
 	s.ownership.BeginSwap()
@@ -181,8 +184,8 @@
 	c.acquired[h], c.dirty = left, true
 }
 
-// write swaps the record. When another host was first, or the answer is lost, the
-// next round reads what has become of it.
+// write swaps the record. If another host swapped it first, or the answer is lost,
+// the next round reads the result.
 func (r *Runtime) write(ctx context.Context, c *recordUpdate) error {
 	v, err := json.Marshal(c.table)
 	if err != nil {
@@ -203,7 +206,7 @@
 	return nil
 }
 
-// handleAcquired takes in that the record names this host; r.mu is held.
+// handleAcquired handles a record that names this host as the owner; r.mu is held.
 func (r *Runtime) handleAcquired(h roster.Shard, rec quota.OwnershipRecord, lease uint64, left []remainingTokens) {
 	l, until := r.cfg.Store.Lease()
 	s := r.seat(h)
@@ -223,9 +226,9 @@
 	}
 }
 
-// leaseValid reports whether the lease of a record's holder leaseValid, asking the store
-// once for all seats of one holder. A holder that is a member is taken to have
-// its lease without asking: to rest is always safe, and it costs no call.
+// leaseValid reports whether the lease of a record's owner is valid. It asks the
+// store once for all shards of one owner. An owner that is a member, not leaving and of the same epoch, is assumed to
+// have its lease, without a call: to wait is always safe.
 func (r *Runtime) leaseValid(ctx context.Context, rec quota.OwnershipRecord,
 	known map[quota.OwnershipRecord]bool) (bool, error) {
 	if rec.Holder == (quota.Process{}) || rec.Holder == r.process() {
@@ -246,7 +249,7 @@
 	return v, nil
 }
 
-// recordDecision records a decision on a seat in the journal and the log.
+// recordDecision records a decision on a shard in the journal and the log.
 func (r *Runtime) recordDecision(h roster.Shard, choice, reason string) {
 	n := string(ownershipID(r.cfg.DataCentre, h))
 	r.cfg.Journal.Add(journal.Decision{
@@ -255,8 +258,8 @@
 	r.cfg.Logger.Info("seat", zap.String("seat", n), zap.String("choice", choice), zap.String("reason", reason))
 }
 
-// pickWitness returns a live host, rather of the own data centre, so that a data
-// centre cut off from all else can go on.
+// pickWitness returns a live host, preferably in the same data centre, so that a
+// data centre that is cut off from all others can go on.
 func (r *Runtime) pickWitness() quota.Process {
 	m := r.cfg.Members()
 	for _, e := range append(roster.InDataCentre(m, r.cfg.DataCentre), m...) {
@@ -272,8 +275,8 @@
 
 var errNoWitness = errors.New("the witness is not among the members")
 
-// withdraw asks a witness to consent no more to the tenures of some seats. While
-// it doesn't answer they stay as they are.
+// withdraw asks a witness to withdraw its consent to the tenures of some shards.
+// If the witness doesn't answer, the claims stay as they are.
 func (r *Runtime) withdraw(ctx context.Context, w quota.Process, shards []roster.Shard, c *recordUpdate) {
 	asks := make([]*hostpb.SeatAsk, len(shards))
 	for i, h := range shards {
--- a/io/grants/clock.go
+++ b/io/grants/clock.go
@@ -6,8 +6,9 @@
 	"skylarkdeal/core/quota"
 )
 
-// clock gives two readings of one host's time. Whatever this host has to end
-// goes by late, and whatever another host has to end first goes by early.
+// clock gives two readings of one host's time. The end of a period that this host
+// itself must observe, such as its lease, is checked with suspendAware; a wait for a
+// period of another host to end is checked with monotonic.
 type clock struct {
 	now   func() time.Time
 	first time.Time
@@ -18,12 +19,12 @@
 	c.now, c.first = now, now()
 }
 
-// monotonic returns the monotonic time.
+// monotonic returns the monotonic time, which stands still while the machine is suspended.
 func (c *clock) monotonic() time.Time {
 	return c.now()
 }
 
-// suspendAware returns the time as quota.SuspendAwareClock has it.
+// suspendAware returns the time according to quota.SuspendAwareClock.
 func (c *clock) suspendAware() time.Time {
 	t := c.now()
 	wall := t.Round(0).Sub(c.first.Round(0))
--- a/io/grants/consent.go
+++ b/io/grants/consent.go
@@ -10,8 +10,9 @@
 	"skylarkdeal/io/host/hostpb"
 )
 
-// askConsent asks the witnesses of the held seats whose lease is about to end,
-// with one call for each witness. While the store answers it sends nothing.
+// askConsent asks the witnesses for consent to the tenures of the owned shards
+// whose lease ends soon, with one call to each witness. While the store answers,
+// leases are renewed in time and no call is made.
 func (r *Runtime) askConsent(ctx context.Context) {
 	for w, names := range r.needingConsent() {
 		asks := make([]*hostpb.SeatAsk, len(names))
@@ -34,13 +35,13 @@
 	}
 }
 
-// shardTenure names a tenure of a seat.
+// shardTenure identifies a tenure of the ownership of one shard.
 type shardTenure struct {
 	name   quota.OwnershipID
 	tenure uint64
 }
 
-// needingConsent returns the held seats that need consent, by witness.
+// needingConsent returns the owned shards that need consent, by witness.
 func (r *Runtime) needingConsent() map[quota.Process][]shardTenure {
 	out := map[quota.Process][]shardTenure{}
 	now := r.clock.suspendAware()
@@ -56,7 +57,7 @@
 	return out
 }
 
-// askWitness sends asks to w, which may be this host.
+// askWitness sends asks to the witness w and returns its answers. w may be this host.
 func (r *Runtime) askWitness(
 	ctx context.Context, w quota.Process, asks []*hostpb.SeatAsk,
 ) (*hostpb.GrantResponse, error) {
--- a/io/grants/entries.go
+++ b/io/grants/entries.go
@@ -13,20 +13,20 @@
 	"skylarkdeal/core/roster"
 )
 
-// accountID is an account of a service.
+// accountID identifies an account of a service.
 type accountID struct {
 	service fleet.Service
 	account fleet.Account
 }
 
-// entry is one account as this host spends for it.
+// entry is the state of one account for which this host spends tokens.
 type entry struct {
 	accountID
 	shard   roster.Shard
 	spender quota.Spender
 	// document is the version in effect.
 	document atomic.Pointer[document.Document]
-	// waiting counts the exchanges that wait, so that none overtakes them.
+	// waiting counts the waiting exchanges, so that no new exchange overtakes them.
 	waiting           atomic.Int64
 	admitted, refused atomic.Uint64
 
@@ -40,12 +40,12 @@
 	n        quota.Tokens
 	deadline time.Time
 	done     func(*failure.Refusal)
-	// open is set for an exchange of an open transaction.
+	// open reports whether the exchange belongs to an open transaction.
 	open bool
 }
 
-// entries finds the entry of an account without a lock: the maps are replaced,
-// never changed, whenever a document comes.
+// entries maps accounts to their entries. Look-ups take no lock: a new document
+// replaces the maps, which are never modified.
 type entries struct {
 	mu  sync.Mutex
 	all atomic.Pointer[map[fleet.Service]map[fleet.Account]*entry]
@@ -72,7 +72,7 @@
 	}
 }
 
-// DocumentChanged puts d in effect, unless a newer version of it is.
+// DocumentChanged puts d in effect, unless the version in effect is the same or newer.
 func (r *Runtime) DocumentChanged(d *document.Document) {
 	old, newer := r.entries.change(d, r.newEntry)
 	if newer {
@@ -87,8 +87,8 @@
 }
 
 // change replaces the maps, and returns the document that was in effect and
-// whether d is newer. Accounts that d lacks are gone: their open grants expire by
-// themselves.
+// whether d is newer. The entries of accounts that d lacks are removed; their open
+// grants expire by themselves.
 func (e *entries) change(d *document.Document, add func(accountID) *entry) (old *document.Document, newer bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/io/grants/grants.go
+++ b/io/grants/grants.go
@@ -1,9 +1,10 @@
-// Package grants lets exchanges through by their account's rate: it spends the
-// tokens that this host has, asks the homes on other hosts for more, and is
-// itself the home of some accounts.
+// Package grants enforces the rate of each account. A host admits an exchange
+// when it can spend a token for it: it spends the tokens that it has, requests
+// more from the homes on other hosts, and is itself the home of some accounts.
 //
-// One goroutine owns the waiting exchanges, one the seats, and a few send; rings
-// join them. An exchange whose token is at hand passes without any of them.
+// One goroutine serves the waiting exchanges, one maintains the ownership of
+// shards, and a few send requests; they are connected by rings. An exchange whose
+// token is available is admitted without any of them.
 package grants
 
 import (
@@ -28,47 +29,47 @@
 	"skylarkdeal/io/host/hostpb"
 )
 
-// Config is what a Runtime needs of the rest of the host.
+// Config holds the settings of a Runtime and its connections to the rest of the host.
 type Config struct {
 	Host       fleet.Host
 	DataCentre fleet.DataCentre
-	// Epoch is drawn when the process starts.
+	// Epoch identifies the process; it is drawn when the process starts.
 	Epoch uint64
-	// Documents returns the document in effect.
+	// Documents returns the document in effect for a service.
 	Documents func(fleet.Service) (*document.Document, bool)
-	// Members returns the live and leaving hosts, this one among them.
+	// Members returns the live and the leaving hosts, including this one.
 	Members func() []fleet.Member
 	// Call sends a request to another host.
 	Call func(ctx context.Context, to fleet.Member, q *hostpb.GrantRequest) (*hostpb.GrantResponse, error)
-	// Store keeps the seats. Without it a host takes itself for the home
-	// wherever it wins by its own roster, which is safe only for a host alone.
+	// Store holds the ownership records. Without it a host acts as the home of every
+	// shard that its own roster assigns to it, which is safe only for a single host.
 	Store Store
-	// Now reads the clock, with both the wall and the monotonic time.
+	// Now returns the time with both its wall and its monotonic reading; nil means time.Now.
 	Now        func() time.Time
 	Logger     *zap.Logger
 	Registerer prometheus.Registerer
 	Journal    *journal.Journal
-	// AdmissionTimeout is the longest that an exchange waits for its tokens; zero takes
-	// DefaultPatience.
+	// AdmissionTimeout is the longest that an exchange waits for its tokens; zero
+	// means DefaultAdmissionTimeout.
 	AdmissionTimeout time.Duration
 }
 
 const (
-	// DefaultAdmissionTimeout is made for a short burst, and for a home that is lost:
-	// until an ask to it has timed out and another data centre's home has
-	// answered, no token can come. A caller above its rate is refused at once,
-	// as soon as it is known that its token can't come within that time.
+	// DefaultAdmissionTimeout covers a short burst and the loss of a home: no token
+	// arrives until a request to that home has timed out and the home in another data
+	// centre has answered. A caller above its rate is refused earlier, as soon as it
+	// is known that its token can't arrive within that time.
 	DefaultAdmissionTimeout = 250 * time.Millisecond
-	// serveInterval is how often the waiting exchanges and the stocks are looked after.
+	// serveInterval is how often the waiting exchanges and the token stocks are checked.
 	serveInterval = 5 * time.Millisecond
-	// maxArrivals bounds the exchanges on their way to the waiting ones. More than
-	// that in one tick is far above any host's share of the load.
+	// maxArrivals bounds the exchanges that are queued for the serving goroutine. One
+	// serveInterval of any host's load is far below it.
 	maxArrivals = 8192
-	// senders is how many requests to other hosts are in flight at a time.
+	// senders is the number of requests to other hosts in flight at a time.
 	senders = 8
 )
 
-// Runtime is the part of a host that keeps accounts to their rate.
+// Runtime is the part of a host that enforces the accounts' rates.
 type Runtime struct {
 	cfg     Config
 	clock   clock
@@ -79,30 +80,30 @@
 	jobs          ring.Ring[requestBatch]
 	results       ring.Ring[result]
 	leaveRequests ring.Ring[chan struct{}]
-	// stopped is set when nobody serves the arrivals any more.
+	// stopped is set when no goroutine serves the arrivals any more.
 	stopped atomic.Bool
-	// updateMu is held while the record of the seats is read and swapped.
+	// updateMu is held while the ownership record is read and swapped.
 	updateMu sync.Mutex
-	// nextCheck belongs to the goroutine that keeps the seats.
+	// nextCheck belongs to the goroutine that maintains the ownership of shards.
 	nextCheck time.Time
 	// out belongs to the serving goroutine.
 	out outbox
 
-	// mu guards what follows: it is held for map look-ups and sums only.
+	// mu guards the fields below. It is held for map look-ups and sums only.
 	mu    sync.Mutex
 	homes map[accountID]*quota.Home
-	// hadHome holds the accounts that ever had a home in this process.
+	// hadHome holds the accounts that have had a home in this process.
 	hadHome     map[accountID]bool
 	shardStates map[quota.OwnershipID]*shardState
 	released    map[roster.Shard]releasedShard
 	witness     quota.Witness
 	lastID      quota.GrantID
 	leaving     bool
-	// claiming is what Claiming returns.
+	// claiming is the result of Claiming.
 	claiming atomic.Bool
 }
 
-// New returns a Runtime; Run makes it work.
+// New returns a Runtime that admits exchanges once Run has been called.
 func New(cfg Config) *Runtime {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -132,13 +133,14 @@
 	return r
 }
 
-// firstGrantID makes the ids of a process's grants differ from those that a former
-// home of the same accounts gave out: a report on one of those is then ignored.
+// firstGrantID returns the first grant id of a process. It differs from the ids that a
+// former home of the same accounts gave out, so that a report on one of those is
+// ignored.
 func firstGrantID(h fleet.Host, epoch uint64) quota.GrantID {
 	return quota.GrantID(xxhash.Sum64String(fmt.Sprint(h, epoch)))
 }
 
-// Run works until ctx ends.
+// Run serves exchanges and maintains the ownership of shards until ctx ends.
 func (r *Runtime) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { r.serve(ctx); return nil })
@@ -150,26 +152,27 @@
 }
 
 // Admit calls done with nil once n tokens of the account are spent, or with the
-// reason why not; nothing has been run then. done may be called before Admit
-// returns, and must not block. An exchange without a deadline passes a zero one.
+// reason for the refusal, in which case nothing has been run. done may be called
+// before Admit returns, and must not block. The zero deadline means none.
 func (r *Runtime) Admit(s fleet.Service, a fleet.Account, n int, deadline time.Time, done func(*failure.Refusal)) {
 	r.admit(s, a, waiter{n: quota.Tokens(n), deadline: deadline, done: done}, r.cfg.AdmissionTimeout)
 }
 
-// openTransactionTimeout is how long an exchange of an open transaction waits. No more of
-// an account's transactions are open than it has connections, and these go before
-// its new work, so a token comes for each within a few times 1/rate.
+// openTransactionTimeout is how long an exchange of an open transaction waits. An
+// account has no more open transactions than connections, and these are admitted
+// before its new work, so each gets a token within a few times 1/rate.
 const openTransactionTimeout = 2 * time.Second
 
-// AdmitOpen is Admit for an exchange of an open transaction, which goes before
-// the account's new work and isn't refused for want of patience.
+// AdmitOpen is Admit for an exchange of an open transaction. It is admitted before
+// the account's new work and isn't refused because of the admission timeout.
 //
-// The load is an account above its rate whose transactions were refused half-way:
-// they held their connections and were charged for nothing, and had to be run
-// again from the start. The bound of rate and burst holds as before, since such an
-// exchange waits for its token too.
+// Designed for an account above its rate: transactions refused half-way held their
+// connections, had spent tokens for nothing, and had to be run again from the
+// start. The bound of rate and burst still holds, since such an exchange waits for
+// its token too.
 func (r *Runtime) AdmitOpen(s fleet.Service, a fleet.Account, n int, deadline time.Time, done func(*failure.Refusal)) {
-	r.admit(s, a, waiter{n: quota.Tokens(n), deadline: deadline, done: done, open: true}, max(openTransactionTimeout, r.cfg.AdmissionTimeout))
+	r.admit(s, a, waiter{n: quota.Tokens(n), deadline: deadline, done: done, open: true},
+		max(openTransactionTimeout, r.cfg.AdmissionTimeout))
 }
 
 func (r *Runtime) admit(s fleet.Service, a fleet.Account, w waiter, patience time.Duration) {
@@ -199,7 +202,7 @@
 	}
 }
 
-// refuseArrivals answers what has come to a runtime that no longer serves.
+// refuseArrivals refuses the exchanges that are queued once the Runtime no longer serves.
 func (r *Runtime) refuseArrivals() {
 	for {
 		a, ok := r.arrivals.TryTake()
@@ -217,7 +220,7 @@
 	}
 }
 
-// minRetryAfter keeps a refused caller from coming back at once.
+// minRetryAfter keeps a refused caller from retrying at once.
 const minRetryAfter = 10 * time.Millisecond
 
 func overRateRefusal(after time.Duration) *failure.Refusal {
--- a/io/grants/homes.go
+++ b/io/grants/homes.go
@@ -12,7 +12,7 @@
 	"skylarkdeal/io/host/hostpb"
 )
 
-// HandleGrant answers another host, as a home and as a witness.
+// HandleGrant answers the requests of another host, as a home and as a witness.
 func (r *Runtime) HandleGrant(_ context.Context, q *hostpb.GrantRequest) *hostpb.GrantResponse {
 	out := &hostpb.GrantResponse{Hello: r.hello()}
 	from := fleet.Host(q.GetHello().GetHost())
@@ -31,17 +31,18 @@
 	return &hostpb.Hello{Version: 1, Host: string(r.cfg.Host), Epoch: r.cfg.Epoch}
 }
 
-// homeStatus says whether this host is the home, and if not, which one may be.
+// homeStatus tells whether this host is the home, and if not, which host may be.
 type homeStatus struct {
 	here bool
 	hint fleet.Host
 }
 
-// grant answers an ask of one account from this host's home, if it is one.
+// grant answers the request of one account if this host is its home.
 //
-// The right to grant is looked up for each ask with the late clock, before the
-// grant is made. The spender counts a grant's life from before it sent the ask,
-// so a home that is paused after the look-up hands out a grant that has expired.
+// The right to grant is checked for each request with the suspend-aware time, before
+// the grant is made. The spender counts a grant's lifetime from before it sent the
+// request, so if the home is paused after the check, its grant has already expired
+// when it arrives.
 func (r *Runtime) grant(n accountID, a quota.Ask) (quota.Grant, homeStatus) {
 	shard := roster.ShardOf(n.service, n.account)
 	r.mu.Lock()
@@ -56,7 +57,7 @@
 	return g, homeStatus{here: true}
 }
 
-// preferredHome returns the host to which the duty of home falls, unless it is this.
+// preferredHome returns the host that the roster assigns the shard to, or "" if that is this host.
 func (r *Runtime) preferredHome(h roster.Shard) fleet.Host {
 	here := roster.InDataCentre(r.cfg.Members(), r.cfg.DataCentre)
 	w, ok := roster.DutyHolder(here, roster.Home(r.cfg.DataCentre, h))
@@ -66,7 +67,7 @@
 	return w.Host
 }
 
-// handleWitnessRequest answers a SeatAsk.
+// handleWitnessRequest answers a SeatAsk, which asks for consent or withdraws it.
 func (r *Runtime) handleWitnessRequest(q *hostpb.SeatAsk) *hostpb.SeatAnswer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,8 +80,8 @@
 	return &hostpb.SeatAnswer{RemainsUs: micros(d)}
 }
 
-// changeHomes puts d in effect in the homes on this host, and begins those of
-// accounts that are new.
+// changeHomes applies d to the homes on this host, and starts those of new
+// accounts.
 func (r *Runtime) changeHomes(d, old *document.Document) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,8 +105,8 @@
 	}
 }
 
-// startHomes begins the homes of all accounts of a shard with what is left of
-// each, before anyone asks: the earlier they start the fuller they are.
+// startHomes starts the homes of all accounts of a shard with the tokens left in
+// each. It doesn't wait for a first request, since a home accrues tokens only once it is started.
 func (r *Runtime) startHomes(h roster.Shard, left []remainingTokens) {
 	now := r.clock.monotonic()
 	tokens := make(map[accountID]float64, len(left))
@@ -120,11 +121,11 @@
 	})
 }
 
-// idsPerHome leaves room for the grants of one home's tenure between two starts.
+// idsPerHome is the number of grant ids reserved for one tenure of a home.
 const idsPerHome = 1 << 20
 
-// startHome begins one home. In the first tenure that the seat ever had, the
-// first home of an account starts full: nobody can have granted from it before.
+// startHome starts one home. In the first tenure of a shard's ownership, the first
+// home of an account starts full: no host can have granted from it before.
 func (r *Runtime) startHome(now time.Time, n accountID, d *document.Document, a document.Account, left float64) {
 	shard := roster.ShardOf(n.service, n.account)
 	share := r.share(d, a)
@@ -138,10 +139,10 @@
 	r.homes[n] = h
 }
 
-// firstTenure is the tenure of a record that was put where there was none.
+// firstTenure is the tenure of the first record of a shard's ownership.
 const firstTenure = 1
 
-// leftovers returns what the homes of a shard have left.
+// leftovers returns the tokens left in the homes of a shard.
 func (r *Runtime) leftovers(h roster.Shard) []remainingTokens {
 	var out []remainingTokens
 	for n, e := range r.homes {
--- a/io/grants/seats.go
+++ b/io/grants/seats.go
@@ -14,65 +14,66 @@
 	"skylarkdeal/internal/sleep"
 )
 
-// Entry is one key of the store as it was read.
+// Entry is one key of the store as read, with its value.
 type Entry struct {
 	Key   string
 	Value []byte
-	// Revision is that of the key's last change; zero when it isn't there.
+	// Revision is the revision of the key's last change; zero if the key doesn't exist.
 	Revision uint64
 }
 
-// Store is what the seats need of the platform's store and of this host's
-// record there. All calls may fail while the store is down.
+// Store is the interface to the platform's store and to this host's record there.
+// All calls may fail while the store is down.
 type Store struct {
 	// List returns the keys that begin with prefix.
 	List func(ctx context.Context, prefix string) ([]Entry, error)
-	// Swap writes value if the key's revision is still old, zero if it isn't
-	// there, and reports the revision and whether it was.
+	// Swap writes value if the key's revision is still old, where zero means that the
+	// key doesn't exist. It returns the new revision and whether value was written.
 	Swap func(ctx context.Context, key string, old uint64, value []byte) (revision uint64, swapped bool, err error)
 	// Standing reports whether the store holds the record that a host wrote
-	// under the lease of that name.
+	// under the given lease.
 	Standing func(ctx context.Context, h fleet.Host, lease uint64) (bool, error)
-	// Lease returns the name of this host's lease and the time by its own clock
-	// until which it stands; a zero time when it doesn't.
+	// Lease returns the id of this host's lease and the time on this host's clock
+	// until which it is valid; a zero time if it isn't.
 	Lease func() (lease uint64, until time.Time)
-	// Epoch returns the process epoch of another host.
+	// Epoch returns the process epoch of another host; zero if it isn't known.
 	Epoch func(fleet.Host) uint64
 }
 
-// SeatPrefix is where the seats are kept in the store, a key for each data centre.
+// SeatPrefix is the prefix of the ownership records in the store, one key for each data centre.
 const SeatPrefix = "/skylarkdeal/homes/"
 
 func ownershipID(d fleet.DataCentre, h roster.Shard) quota.OwnershipID {
 	return quota.OwnershipID(fmt.Sprintf("%s/%02d", d, h))
 }
 
-// shardState is this host's view of one shardState of its data centre.
+// shardState is this host's view of the ownership of one shard of its data centre.
 type shardState struct {
 	ownership quota.Ownership
 	claim     quota.Claim
-	// notPreferredSince is when this host, the holder, first saw another one win the duty.
+	// notPreferredSince is when this host, the owner, first saw the roster assign the
+	// shard to another host.
 	notPreferredSince time.Time
 }
 
 const (
-	// idleCheckInterval is how often a host looks whether seats that another one holds
-	// have been given up: few of the calls that it may make of the store.
+	// idleCheckInterval is how often a host checks whether shards that another host
+	// owns have been released. It uses few of the store calls that a host may make.
 	idleCheckInterval = 2 * time.Second
-	// checkInterval is how often seats are looked after: half the least time in
-	// which a lost host is noticed, so that it adds little to it.
+	// checkInterval is how often ownership is checked: half the least time in which
+	// the loss of a host is detected, so that it adds little to that time.
 	checkInterval = 500 * time.Millisecond
-	// storeTimeout bounds a call of the store: twice its slowest answers.
+	// storeTimeout bounds a call to the store: twice its slowest answers.
 	storeTimeout = 4 * time.Second
-	// consentLeadTime is how long before its lease ends a holder asks for consent:
-	// two rounds of looking after the seats and a failed call in between.
+	// consentLeadTime is how long before its lease ends an owner asks for consent:
+	// two checks of ownership and a failed call in between.
 	consentLeadTime = 1500 * time.Millisecond
-	// releaseDelay is how long another host has to win the duty of a holder before
-	// that gives its seat up, so that a roster in motion moves nothing.
+	// releaseDelay is how long the roster has to assign a shard to another host before
+	// the owner releases it, so that a short change of the roster moves no shard.
 	releaseDelay = 3 * time.Second
 )
 
-// maintainOwnership is the duty of taking, keeping and giving up seats.
+// maintainOwnership acquires, keeps and releases the ownership of shards until ctx ends.
 func (r *Runtime) maintainOwnership(ctx context.Context) {
 	for {
 		r.checkOwnership(ctx)
@@ -103,15 +104,16 @@
 	r.askConsent(ctx)
 }
 
-// Claiming reports whether seats fall to this host that it doesn't hold yet: the
-// accounts whose home they make it have to borrow tokens elsewhere until then.
+// Claiming reports whether the roster assigns shards to this host that it doesn't
+// own yet. Until it owns them, the accounts in them borrow tokens from the homes in
+// other data centres.
 func (r *Runtime) Claiming() bool {
 	return r.claiming.Load()
 }
 
-// updateRecordIfDue changes the record of the seats where there is something to do. A
-// host whose claims rest, because another one still holds the seats, looks only
-// every restEvery.
+// updateRecordIfDue updates the ownership record if there is something to change. If
+// its claims have to wait because another host still owns the shards, the host
+// checks the record only every idleCheckInterval.
 func (r *Runtime) updateRecordIfDue(ctx context.Context, claims []roster.Shard) {
 	r.mu.Lock()
 	giving := len(r.released) > 0
@@ -129,7 +131,7 @@
 	}
 }
 
-// acquireUnfenced holds every seat that falls to this host by its own roster.
+// acquireUnfenced acquires every shard that this host's own roster assigns to it.
 func (r *Runtime) acquireUnfenced() {
 	forever := r.clock.suspendAware().Add(time.Hour)
 	here := roster.InDataCentre(r.cfg.Members(), r.cfg.DataCentre)
@@ -165,7 +167,7 @@
 	if s.ownership.Held() {
 		s.ownership.Lost()
 		r.dropHomes(h)
-		r.recordDecision(h, "lose", "another host holds it, or it was given up")
+		r.recordDecision(h, "lose", "another host owns it, or it was released")
 	}
 }
 
@@ -179,9 +181,9 @@
 	return r.leaving
 }
 
-// syncLease takes over the state of the host's lease, and reports whether the seat
-// is held under that lease and with a live witness, so that nothing has to be
-// written.
+// syncLease copies the state of the host's lease to the shard's ownership, and reports
+// whether the shard is owned under that lease and with a live witness, so that
+// nothing has to be written.
 func (r *Runtime) syncLease(h roster.Shard) bool {
 	lease, until := r.cfg.Store.Lease()
 	r.mu.Lock()
@@ -197,9 +199,10 @@
 	return !r.clock.suspendAware().Before(until) || r.witnessUsable(s.ownership.Record().Witness)
 }
 
-// witnessUsable reports whether the witness is a live member of the epoch that
-// the record names, and as near as any, or there is none to be had. A witness in
-// another data centre is of no use when this one is cut off.
+// witnessUsable reports whether the witness is a live member of the epoch that the
+// record names and no host in this data centre would be a better choice, or whether
+// there is no witness to name. A witness in another data centre is of no use when
+// this one is cut off.
 func (r *Runtime) witnessUsable(p quota.Process) bool {
 	if p == (quota.Process{}) {
 		return r.pickWitness() == p
@@ -212,7 +215,7 @@
 	return m.DataCentre == r.cfg.DataCentre || best.DataCentre != r.cfg.DataCentre
 }
 
-// releaseIfNotPreferred gives the seat to the host that wins its duty, once that has lasted.
+// releaseIfNotPreferred releases a shard that the roster has assigned to another host for releaseDelay.
 func (r *Runtime) releaseIfNotPreferred(h roster.Shard, mine bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -228,15 +231,15 @@
 	}
 }
 
-// releasedShard is a seat that this host has releasedShard up, while the store may not know it.
+// releasedShard is a shard that this host has released, possibly not yet in the store.
 type releasedShard struct {
 	tenure uint64
 	left   []remainingTokens
 }
 
-// release stops granting; the next change of the record says so in the store, with
-// what the homes have left: the successor need not wait for a lease to end, nor
-// start empty. r.mu is held.
+// release stops granting. The next update of the record writes the release to the
+// store, with the tokens left in the homes, so that the successor need not wait for
+// a lease to end, nor start empty. r.mu is held.
 func (r *Runtime) release(h roster.Shard) {
 	s := r.seat(h)
 	if !s.ownership.Held() {
@@ -249,7 +252,7 @@
 	r.handleLost(h, s)
 }
 
-// ownedShards returns the shards whose seats this host holds.
+// ownedShards returns the shards that this host owns.
 func (r *Runtime) ownedShards() []roster.Shard {
 	var out []roster.Shard
 	for h := roster.Shard(0); h < roster.Shards; h++ {
--- a/io/grants/send.go
+++ b/io/grants/send.go
@@ -10,7 +10,7 @@
 	"skylarkdeal/io/host/hostpb"
 )
 
-// tokenRequest is one account's tokenRequest on its way to a home and back.
+// tokenRequest is the request of one account to a home, with the answer once it is known.
 type tokenRequest struct {
 	entry   *entry
 	request quota.HomeRequest
@@ -20,27 +20,27 @@
 	failed  bool
 }
 
-// requestBatch is the asks that go to one host together.
+// requestBatch holds the requests that are sent to one host together.
 type requestBatch struct {
 	to   fleet.Member
 	asks []tokenRequest
 }
 
-// result is a job's asks with their answers.
+// result is a batch with its answers.
 type result = requestBatch
 
-// outbox collects the asks of one round of the serving goroutine by host, and
-// remembers which host was last found to be a home.
+// outbox collects the requests of one round of the serving goroutine by host, and
+// records which host last answered as a home.
 type outbox struct {
 	jobs map[fleet.Host]*requestBatch
-	// rankOffset is the rank, by roster, of the host that is asked for a seat.
+	// rankOffset is the rank in the roster of the host to ask for a shard.
 	rankOffset map[quota.OwnershipID]int
-	// lastHome is the host that last granted for a seat, or was hinted at.
+	// lastHome is the host that last granted for a shard, or that a hint named.
 	lastHome map[quota.OwnershipID]fleet.Host
 }
 
-// queue puts an ask with those that go to the same host, or answers it at once
-// when this host is the home.
+// queue adds a request to the batch for its host, or answers it at once when this
+// host is the home.
 func (r *Runtime) queue(e *entry, w quota.HomeRequest, now time.Time) {
 	a := tokenRequest{entry: e, request: w, sent: now}
 	to, ok := r.target(w.DataCentre, e.shard)
@@ -80,8 +80,9 @@
 	return ranked[r.out.rankOffset[n]%len(ranked)], true
 }
 
-// flush sends what the round has collected. A host whose answers are slow fills
-// the ring of jobs; its asks then fail at once and other homes are asked.
+// flush sends the batches that the round has collected. A host with slow answers
+// fills the ring of batches; requests to it then fail at once, and other homes are
+// asked.
 func (r *Runtime) flush() {
 	for h, j := range r.out.jobs {
 		delete(r.out.jobs, h)
@@ -91,15 +92,15 @@
 	}
 }
 
-// send is the duty that makes the calls.
+// send makes the calls to other hosts until ctx ends.
 func (r *Runtime) send(ctx context.Context) {
 	r.jobs.Each(ctx, func(j requestBatch) {
 		r.call(ctx, j)
-		_ = r.results.Put(ctx, j) // fails only once ctx has ended, as this duty then does
+		_ = r.results.Put(ctx, j) // fails only when ctx has ended; send then returns too
 	})
 }
 
-// call fills in the answers of j's asks.
+// call sends the batch and stores the answers in its requests.
 func (r *Runtime) call(ctx context.Context, j requestBatch) {
 	ctx, cancel := context.WithTimeout(ctx, quota.AskTimeout)
 	defer cancel()
@@ -121,7 +122,8 @@
 	}
 }
 
-// handleResults gives the answers to the spenders and steps their entries.
+// handleResults passes the answers to the spenders and serves the waiting exchanges
+// of their entries.
 func (r *Runtime) handleResults(busy active, res result) {
 	now := r.clock.suspendAware()
 	for _, a := range res.asks {
@@ -131,7 +133,7 @@
 	}
 }
 
-// failBatch answers asks that were not sent.
+// failBatch fails the requests of a batch that was not sent.
 func (r *Runtime) failBatch(j requestBatch) {
 	now := r.clock.suspendAware()
 	for _, a := range j.asks {
@@ -140,8 +142,8 @@
 	}
 }
 
-// handleAnswer takes in one answer. A host that isn't the home, or doesn't answer, is
-// followed by the hint or by the next in rank.
+// handleAnswer processes one answer. If the host isn't the home or doesn't answer,
+// the next request goes to the host that the hint names or to the next in rank.
 func (r *Runtime) handleAnswer(now time.Time, a tokenRequest, from fleet.Host) {
 	n := ownershipID(a.request.DataCentre, a.entry.shard)
 	if a.home.here && !a.failed {
--- a/io/grants/serve.go
+++ b/io/grants/serve.go
@@ -10,22 +10,22 @@
 	"skylarkdeal/core/quota"
 )
 
-// arrival is an exchange on its way to the waiting ones.
+// arrival is an exchange that is queued for the serving goroutine.
 type arrival struct {
 	entry  *entry
 	waiter waiter
 }
 
-// active remembers the entries that are looked after at each tick.
+// active is the set of entries that are checked at each tick.
 type active map[*entry]struct{}
 
-// serve is the one duty that owns the waiting exchanges.
+// serve runs the one goroutine that owns the waiting exchanges.
 func (r *Runtime) serve(ctx context.Context) {
 	t := time.NewTicker(serveInterval)
 	defer t.Stop()
 	busy := active{}
 	for {
-		// An idle host's ticker would cost it more than all its grants.
+		// On an idle host the ticker would cost more than all its grants.
 		var due <-chan time.Time
 		if len(busy) > 0 {
 			due = t.C
@@ -49,8 +49,8 @@
 	}
 }
 
-// drain takes what has come meanwhile, so that one request to a home carries the
-// wants of many exchanges.
+// drain handles the arrivals and results queued meanwhile, so that one request to a
+// home covers many exchanges.
 func (r *Runtime) drain(busy active) {
 	for range maxArrivals {
 		select {
@@ -81,8 +81,8 @@
 	r.step(e, now)
 }
 
-// step lets through the exchanges that can be, refuses those that can't in time,
-// and asks for tokens for the others.
+// step admits the exchanges that have their tokens, refuses those that can't get
+// theirs in time, and requests tokens for the others.
 func (r *Runtime) step(e *entry, now time.Time) {
 	for len(e.waiters) > 0 && e.spender.TakeAny(now, e.waiters[0].n) {
 		w := e.waiters[0]
@@ -97,8 +97,8 @@
 	}
 }
 
-// open returns how many of the waiting exchanges, which stand in front, belong to
-// open transactions.
+// open returns how many of the waiting exchanges belong to open transactions; these
+// are at the front.
 func (e *entry) open() int {
 	n := slices.IndexFunc(e.waiters, func(w waiter) bool { return !w.open })
 	if n < 0 {
@@ -107,7 +107,7 @@
 	return n
 }
 
-// wanted returns the tokens that the waiting exchanges need.
+// wanted returns the number of tokens that the waiting exchanges need.
 func (e *entry) wanted() quota.Tokens {
 	var n quota.Tokens
 	for _, w := range e.waiters {
@@ -128,16 +128,16 @@
 	w.done(f)
 }
 
-// cannotMeetDeadline reports whether w can't get its tokens before its limit, with all
-// that wait before it. It is made for an account that sends many times its rate:
-// what is above the rate is answered at once, and no more wait than the rate
-// serves within their patience, so that the others wait no longer than that.
+// cannotMeetDeadline reports whether w can't get its tokens before its deadline,
+// after all that wait before it. Designed for an account that sends many times its
+// rate: what is above the rate is refused at once, and no more exchanges wait than
+// the rate serves within their timeout, so that none waits longer than that.
 func (e *entry) cannotMeetDeadline(now time.Time, w waiter) bool {
 	return now.Add(e.minWait(now, e.wanted()+w.n)).After(w.deadline)
 }
 
-// minWait returns the least time until n tokens may have come, if no other host
-// wanted any.
+// minWait returns the least time until n tokens may have arrived, if no other host
+// requested any.
 func (e *entry) minWait(now time.Time, n quota.Tokens) time.Duration {
 	a, ok := e.document.Load().Account(e.account)
 	if !ok {
@@ -150,8 +150,8 @@
 	return overRateRefusal(e.minWait(now, e.wanted()+1))
 }
 
-// refuseLate refuses from the end those that can't be served in time, as they
-// are behind the others, and from the front those whose limit has come.
+// refuseLate refuses exchanges from the end that can't be served in time, as they
+// are behind the others, and from the front those whose deadline has passed.
 func (e *entry) refuseLate(now time.Time) {
 	for n := len(e.waiters); n > 0; n = len(e.waiters) {
 		w := e.waiters[n-1]
@@ -170,14 +170,14 @@
 }
 
 const (
-	// idleTimeout is how long an entry without exchanges is still looked after.
+	// idleTimeout is how long an entry without exchanges is still checked.
 	idleTimeout = time.Second
-	// stockCheckInterval is how often the stock of an entry without waiting exchanges is
-	// looked at: a quarter of the time for which stock is laid in.
+	// stockCheckInterval is how often the stock of an entry without waiting exchanges
+	// is checked: a quarter of the time for which stock is requested ahead.
 	stockCheckInterval = 25 * time.Millisecond
 )
 
-// stepActive steps the active entries, and lets those rest that have been idle.
+// stepActive steps the active entries, and removes those that have become idle.
 func (r *Runtime) stepActive(busy active) {
 	now := r.clock.suspendAware()
 	for e := range busy {
@@ -192,7 +192,7 @@
 	}
 }
 
-// refuseAll answers what still waits when the host stops.
+// refuseAll refuses all waiting exchanges when the host stops.
 func (r *Runtime) refuseAll(busy active) {
 	r.stopped.Store(true)
 	r.refuseArrivals()
--- a/io/grants/state.go
+++ b/io/grants/state.go
@@ -12,7 +12,7 @@
 	"skylarkdeal/core/quota"
 )
 
-// metrics counts what the runtime does.
+// metrics holds the counters of the Runtime.
 type metrics struct {
 	granted, calls, failed prometheus.Counter
 }
@@ -32,7 +32,7 @@
 }
 
 // collector reports each account's exchanges when the metrics are read, so that
-// letting one through costs no look-up of a metric.
+// admitting an exchange costs no look-up of a metric.
 type collector struct {
 	r *Runtime
 }
@@ -44,13 +44,13 @@
 		"Exchanges refused by their account's rate.", []string{"service", "account"}, nil)
 )
 
-// Describe sends the descriptions of the metrics.
+// Describe sends the descriptions of the per-account metrics.
 func (collector) Describe(c chan<- *prometheus.Desc) {
 	c <- admittedDesc
 	c <- refusedDesc
 }
 
-// Collect sends the metrics.
+// Collect sends the per-account metrics.
 func (l collector) Collect(c chan<- prometheus.Metric) {
 	send := func(d *prometheus.Desc, n uint64, e *entry) {
 		c <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(n), string(e.service), string(e.account))
@@ -61,14 +61,14 @@
 	})
 }
 
-// State is what a state dump shows of the grants.
+// State is the section of the state dump about grants.
 type State struct {
 	Accounts []AccountState                              `json:"accounts"`
 	Homes    []HomeState                                 `json:"homes"`
 	Seats    map[quota.OwnershipID]quota.OwnershipRecord `json:"seats"`
 }
 
-// AccountState is an account as this host spends for it.
+// AccountState is the state of an account for which this host spends tokens.
 type AccountState struct {
 	Service  fleet.Service `json:"service"`
 	Account  fleet.Account `json:"account"`
@@ -77,14 +77,14 @@
 	Refused  uint64        `json:"refused"`
 }
 
-// HomeState is an account whose home this host is.
+// HomeState is the state of the home of one account on this host.
 type HomeState struct {
 	Service fleet.Service `json:"service"`
 	Account fleet.Account `json:"account"`
 	quota.HomeState
 }
 
-// State returns what the runtime holds at the moment.
+// State returns the present state, with accounts and homes sorted by service and account.
 func (r *Runtime) State() State {
 	s := State{Seats: map[quota.OwnershipID]quota.OwnershipRecord{}}
 	r.entries.each(func(e *entry) {
@@ -111,9 +111,9 @@
 	return s
 }
 
-// Leave gives up the seats and gives back the tokens at hand, so that the other
-// hosts wait for no lease or grant to end. It is called when the host takes no
-// more sessions; exchanges in progress still get their tokens from other homes.
+// Leave releases the shards and returns the unspent tokens, so that the other hosts
+// need not wait for a lease or a grant to expire. It is called when the host accepts
+// no more sessions; exchanges in progress still get their tokens from other homes.
 func (r *Runtime) Leave(ctx context.Context) {
 	r.mu.Lock()
 	r.leaving = true
@@ -131,8 +131,8 @@
 	r.writeReleases(ctx)
 }
 
-// writeReleases writes the seats that were given up, or leaves it to the end of the
-// lease when the store can't be reached.
+// writeReleases writes the releases to the store. If the store can't be reached, the
+// lease expires instead.
 func (r *Runtime) writeReleases(ctx context.Context) {
 	for range maxLeaveAttempts {
 		r.mu.Lock()
@@ -147,11 +147,11 @@
 	}
 }
 
-// maxLeaveAttempts bounds the tries: one more may be needed for each host of the data
-// centre that changes the record at the same time.
+// maxLeaveAttempts bounds the attempts: each host of the data centre that changes the
+// record at the same time may cost one more.
 const maxLeaveAttempts = 3
 
-// returnTokens sends all unspent tokens to their homes.
+// returnTokens sends all unspent tokens back to their homes.
 func (r *Runtime) returnTokens() {
 	now := r.clock.suspendAware()
 	r.entries.each(func(e *entry) {
