--- a/io/grants/grants_test.go
+++ b/io/grants/grants_test.go
@@ -16,9 +16,9 @@
 	"skylarkdeal/io/grants"
 )
 
-// All of an account's callers come to one of three hosts, as happens when a
-// balancer sends a large customer to one place. Its burst has to be there all
-// the same, out of the shares of the other data centres, and no more than it.
+// All callers of an account connect to one of three hosts, as when a load balancer
+// sends a large customer to one host. They must get the account's whole burst, out of
+// the shares of the other data centres too, and no more than it.
 func TestOneHostSpendsTheWholeBurst(t *testing.T) {
 	c := qt.New(t)
 	b := newBench(threeHosts, document.Account{Name: "hotel", Rate: 20, Burst: 30})
@@ -37,8 +37,8 @@
 	c.Assert(refused[0].RetryAfter > 0, qt.IsTrue)
 }
 
-// The platform's store is down for minutes and every lease has run out. Callers
-// within their rate must see nothing of it: the homes go on with the consent of
+// The platform's store is down for minutes and every lease has expired. Callers
+// within their rate must not be affected: the homes continue with the consent of
 // their witnesses.
 func TestStoreOutageStopsNoHome(t *testing.T) {
 	c := qt.New(t)
@@ -64,9 +64,9 @@
 	c.Assert(n, qt.Equals, 20, qt.Commentf("%v", refused))
 }
 
-// A host leaves in a rolling restart. Its seats are free for the next host without
-// a wait for its lease, and that one starts with what was left, not with nothing.
-// What the account gets in all is its burst and no more.
+// A host leaves in a rolling restart. The next host acquires its shards without
+// waiting for the lease to expire, and starts with the tokens that were left instead
+// of none. In all, the account gets its burst and no more.
 func TestLeavingHostGivesBack(t *testing.T) {
 	c := qt.New(t)
 	hosts := append([]fleet.Member{{Host: "o2", DataCentre: "obihiro"}}, threeHosts...)
@@ -100,8 +100,8 @@
 	c.Assert(string(b.store.keys[grants.SeatPrefix+"obihiro"].Value), qt.Not(qt.Contains), "left")
 }
 
-// An account is taken out of the document and put back. Its burst was spent a
-// moment ago, so it must not be there anew.
+// An account is removed from the document and added again. Its burst may have been
+// granted before the removal, so the new home must not start full.
 func TestAccountPutBackStartsEmpty(t *testing.T) {
 	c := qt.New(t)
 	b := newBench(threeHosts[:1], document.Account{Name: "hotel", Rate: 0.01, Burst: 30})
@@ -115,7 +115,7 @@
 	c.Assert(b.level(), qt.Equals, 0.0)
 }
 
-// Exchanges that wait, or come, when the process ends are answered all the same.
+// Exchanges that wait or arrive when the process stops are answered.
 func TestStoppedHostAnswers(t *testing.T) {
 	c := qt.New(t)
 	b := newBench(threeHosts[:1], document.Account{Name: "hotel", Rate: 0.01, Burst: 30})
@@ -129,8 +129,8 @@
 	c.Assert(refused[0].Code, qt.Equals, failure.CodeShuttingDown)
 }
 
-// The witness of all seats of a data centre is replaced. The holder names another
-// one in the record while the store can be reached, before it is needed.
+// The witness of all shards of a data centre is lost. The owner must name another
+// one in the record while the store can be reached, before the witness is needed.
 func TestLostWitnessIsReplaced(t *testing.T) {
 	hosts := []fleet.Member{
 		{Host: "o1", DataCentre: "obihiro"}, {Host: "o2", DataCentre: "obihiro"}, {Host: "o3", DataCentre: "obihiro"},
@@ -150,8 +150,8 @@
 	})
 }
 
-// A data centre's first host started alone, with a witness elsewhere. Once it has a
-// neighbour, that one has to be the witness: the two may be cut off together.
+// The first host of a data centre started alone, with a witness in another one. Once
+// a second host joins, that one must become the witness, since both may be cut off together.
 func TestWitnessIsNear(t *testing.T) {
 	hosts := []fleet.Member{
 		{Host: "o1", DataCentre: "obihiro"}, {Host: "s1", DataCentre: "sapporo"}, {Host: "o2", DataCentre: "obihiro"},
--- a/io/grants/helpers_test.go
+++ b/io/grants/helpers_test.go
@@ -24,7 +24,7 @@
 
 var errDown = errors.New("down")
 
-// store is the platform's store for the tests: keys, and the leases that stand.
+// store is an in-memory store: keys, and the valid leases.
 type store struct {
 	mu     sync.Mutex
 	down   bool
@@ -74,14 +74,14 @@
 	return s.leases[h] == lease, nil
 }
 
-// bench is a fleet in one process.
+// bench runs several hosts in one process.
 type bench struct {
 	store   store
 	doc     *document.Document
 	members atomic.Pointer[[]fleet.Member]
 	hosts   map[fleet.Host]*grants.Runtime
 	cut     sync.Map
-	// until is when the hosts' leases end; nil stands for always.
+	// until returns when a host's lease expires; if nil, leases never expire.
 	until func(fleet.Host) time.Time
 }
 
@@ -148,7 +148,7 @@
 	})
 }
 
-// level returns the tokens in all homes.
+// level returns the sum of the tokens in all homes.
 func (b *bench) level() float64 {
 	n := 0.0
 	for _, r := range b.hosts {
@@ -159,7 +159,7 @@
 	return n
 }
 
-// admit sends n exchanges to one host at once and returns how many ran.
+// admit sends n exchanges to one host at once and returns how many were admitted.
 func (b *bench) admit(h fleet.Host, n int) (admitted int, refused []*failure.Refusal) {
 	answers := make(chan *failure.Refusal, n)
 	for range n {
@@ -175,7 +175,7 @@
 	return admitted, refused
 }
 
-// eventually waits for a condition.
+// eventually fails the test if the condition doesn't hold within 20 s.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for range 2000 {
@@ -193,7 +193,7 @@
 	{Host: "s1", DataCentre: "sapporo"},
 }
 
-// ask makes every home count up to now, with an ask that wants nothing.
+// ask sends an ask for no tokens to every home, so that its level is brought up to date.
 func (b *bench) ask(from fleet.Host) {
 	for _, r := range b.hosts {
 		r.HandleGrant(context.Background(), &hostpb.GrantRequest{
@@ -203,7 +203,7 @@
 	}
 }
 
-// homeLevel returns the tokens in a host's home of the account, or -1.
+// homeLevel returns the tokens in a host's home of the account, or -1 if it has none.
 func (b *bench) homeLevel(h fleet.Host) float64 {
 	for _, e := range b.hosts[h].State().Homes {
 		return e.Level
--- a/io/grants/open_test.go
+++ b/io/grants/open_test.go
@@ -10,10 +10,10 @@
 	"skylarkdeal/core/failure"
 )
 
-// A hotel chain sends several times its rate. Its order is a transaction of three
-// statements; the first is let through, then its other callers use up all tokens.
-// Refusing the second statement would throw away the order half-way, with its
-// connection and its tokens spent: it waits in front instead.
+// An account sends several times its rate. One of its transactions has three
+// statements; the first is admitted, then other callers use up all tokens. Refusing
+// the second statement would abort the transaction half-way, with its connection and
+// tokens spent. It must wait before the new work instead.
 func TestOpenTransactionGoesBeforeNewWork(t *testing.T) {
 	c := qt.New(t)
 	b := newBench(threeHosts, document.Account{Name: "hotel", Rate: 200, Burst: 300})
@@ -28,7 +28,7 @@
 		return n == 1
 	})
 
-	// Answers come from one goroutine, in the order in which tokens are given out.
+	// Answers come from one goroutine, in the order in which tokens are spent.
 	const waiting = 400
 	type answer struct {
 		open    bool
@@ -40,7 +40,7 @@
 			answers <- answer{refused: f != nil}
 		})
 	}
-	// A refusal shows that as many wait as the rate serves within their patience.
+	// A refusal shows that as many exchanges wait as the rate serves within their timeout.
 	eventually(t, "a full queue", func() bool {
 		n, _ := b.admit("o1", 1)
 		return n == 0
