--- a/io/grants/claims.go
+++ b/io/grants/claims.go
@@ -141,14 +141,14 @@
 // planClaim takes the next step of the claim of a shard.
 func (r *Runtime) planClaim(ctx context.Context, c *recordUpdate, h roster.Shard) error {
 	read := c.table[shardKey(h)]
-	stands, err := r.leaseValid(ctx, read.OwnershipRecord, c.validLeases)
+	valid, err := r.leaseValid(ctx, read.OwnershipRecord, c.validLeases)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.seat(h)
-	switch s.claim.Next(r.clock.monotonic(), r.process(), c.lease, read.OwnershipRecord, stands) {
+	switch s.claim.Next(r.clock.monotonic(), r.process(), c.lease, read.OwnershipRecord, valid) {
 	case quota.StepAdopt:
 		if !r.witnessUsable(read.Witness) {
 			r.planSwap(c, h, read, nil)
--- a/io/grants/grants.go
+++ b/io/grants/grants.go
@@ -175,7 +175,7 @@
 		max(openTransactionTimeout, r.cfg.AdmissionTimeout))
 }
 
-func (r *Runtime) admit(s fleet.Service, a fleet.Account, w waiter, patience time.Duration) {
+func (r *Runtime) admit(s fleet.Service, a fleet.Account, w waiter, timeout time.Duration) {
 	e := r.entries.find(s, a)
 	if e == nil {
 		w.done(&failure.Refusal{Code: failure.CodeNoService, Message: "not run: no such service or account", Step: "admit"})
@@ -187,8 +187,8 @@
 		w.done(nil)
 		return
 	}
-	if late := now.Add(patience); w.deadline.IsZero() || late.Before(w.deadline) {
-		w.deadline = late
+	if latest := now.Add(timeout); w.deadline.IsZero() || latest.Before(w.deadline) {
+		w.deadline = latest
 	}
 	e.waiting.Add(1)
 	if !r.arrivals.TryPut(arrival{e, w}) {
--- a/io/grants/seats.go
+++ b/io/grants/seats.go
@@ -216,17 +216,17 @@
 }
 
 // releaseIfNotPreferred releases a shard that the roster has assigned to another host for releaseDelay.
-func (r *Runtime) releaseIfNotPreferred(h roster.Shard, mine bool) {
+func (r *Runtime) releaseIfNotPreferred(h roster.Shard, preferred bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.seat(h)
 	now := r.clock.monotonic()
-	if mine {
+	if preferred {
 		s.notPreferredSince = time.Time{}
 	} else if s.notPreferredSince.IsZero() {
 		s.notPreferredSince = now
 	}
-	if !mine && s.ownership.Held() && now.Sub(s.notPreferredSince) >= releaseDelay {
+	if !preferred && s.ownership.Held() && now.Sub(s.notPreferredSince) >= releaseDelay {
 		r.release(h)
 	}
 }
