--- a/io/grants/seats.go
+++ b/io/grants/seats.go
@@ -182,8 +182,8 @@
 }
 
 // syncLease copies the state of the host's lease to the shard's ownership, and reports
-// whether the shard is owned under that lease and with a live witness, so that
-// nothing has to be written.
+// whether the shard is owned and nothing has to be written: it is owned under that
+// lease and with a usable witness, or the lease has expired.
 func (r *Runtime) syncLease(h roster.Shard) bool {
 	lease, until := r.cfg.Store.Lease()
 	r.mu.Lock()
