--- a/io/grants/claims.go
+++ b/io/grants/claims.go
@@ -125,7 +125,7 @@
 	defer r.mu.Unlock()
 	for h, g := range r.released {
 		now := c.table[shardKey(h)]
-		if now.Holder != r.process() {
+		if now.Owner != r.process() {
 			delete(r.released, h)
 			continue
 		}
@@ -177,7 +177,7 @@
 func (r *Runtime) planSwap(c *recordUpdate, h roster.Shard, read storedOwnership, left []remainingTokens) {
 	s := r.seat(h)
 	s.ownership.BeginSwap()
-	s.claim.Tried(read.OwnershipRecord)
+	s.claim.SwapSent(read.OwnershipRecord)
 	c.table[shardKey(h)] = storedOwnership{
 		OwnershipRecord: quota.ClaimedRecord(read.OwnershipRecord, r.process(), c.lease, r.pickWitness()),
 	}
@@ -231,17 +231,17 @@
 // have its lease, without a call: to wait is always safe.
 func (r *Runtime) leaseValid(ctx context.Context, rec quota.OwnershipRecord,
 	known map[quota.OwnershipRecord]bool) (bool, error) {
-	if rec.Holder == (quota.Process{}) || rec.Holder == r.process() {
+	if rec.Owner == (quota.Process{}) || rec.Owner == r.process() {
 		return false, nil
 	}
-	if m, ok := r.member(rec.Holder.Host); ok && !m.Leaving && r.cfg.Store.Epoch(m.Host) == rec.Holder.Epoch {
+	if m, ok := r.member(rec.Owner.Host); ok && !m.Leaving && r.cfg.Store.Epoch(m.Host) == rec.Owner.Epoch {
 		return true, nil
 	}
-	k := quota.OwnershipRecord{Holder: rec.Holder, Lease: rec.Lease}
+	k := quota.OwnershipRecord{Owner: rec.Owner, Lease: rec.Lease}
 	if v, ok := known[k]; ok {
 		return v, nil
 	}
-	v, err := r.cfg.Store.Standing(ctx, rec.Holder.Host, rec.Lease)
+	v, err := r.cfg.Store.Standing(ctx, rec.Owner.Host, rec.Lease)
 	if err != nil {
 		return false, failure.At(err, "read lease", "store")
 	}
--- a/io/grants/consent.go
+++ b/io/grants/consent.go
@@ -49,7 +49,7 @@
 	defer r.mu.Unlock()
 	for n, s := range r.shardStates {
 		rec := s.ownership.Record()
-		if !s.ownership.Held() || rec.Witness.Host == "" || now.Before(s.ownership.Until().Add(-consentLeadTime)) {
+		if !s.ownership.Held() || rec.Witness.Host == "" || now.Before(s.ownership.LeaseUntil().Add(-consentLeadTime)) {
 			continue
 		}
 		out[rec.Witness] = append(out[rec.Witness], shardTenure{n, rec.Tenure})
--- a/io/grants/entries.go
+++ b/io/grants/entries.go
@@ -82,7 +82,7 @@
 
 func (r *Runtime) newEntry(n accountID) *entry {
 	e := &entry{accountID: n, shard: roster.ShardOf(n.service, n.account)}
-	e.spender.Host, e.spender.Own = r.cfg.Host, r.cfg.DataCentre
+	e.spender.Host, e.spender.OwnDataCentre = r.cfg.Host, r.cfg.DataCentre
 	return e
 }
 
--- a/io/grants/grants.go
+++ b/io/grants/grants.go
@@ -127,7 +127,7 @@
 		lastID:        firstGrantID(cfg.Host, cfg.Epoch),
 	}
 	r.clock.start(cfg.Now)
-	r.witness.Since = r.clock.suspendAware()
+	r.witness.StartedAt = r.clock.suspendAware()
 	r.initMetrics()
 	r.claiming.Store(cfg.Store.List != nil)
 	return r
--- a/io/grants/seats.go
+++ b/io/grants/seats.go
@@ -145,7 +145,7 @@
 		case s.ownership.Held():
 			s.ownership.LeaseRenewed(0, forever)
 		default:
-			s.ownership.Acquired(quota.OwnershipRecord{Holder: r.process()})
+			s.ownership.Acquired(quota.OwnershipRecord{Owner: r.process()})
 			s.ownership.LeaseRenewed(0, forever)
 			r.startHomes(h, nil)
 		}
@@ -247,7 +247,7 @@
 	}
 	rec := s.ownership.Record()
 	r.released[h] = releasedShard{rec.Tenure, r.leftovers(h)}
-	s.claim.Tried(rec)
+	s.claim.SwapSent(rec)
 	s.notPreferredSince = time.Time{}
 	r.handleLost(h, s)
 }
--- a/io/grants/serve.go
+++ b/io/grants/serve.go
@@ -143,7 +143,7 @@
 	if !ok {
 		return time.Second
 	}
-	return e.spender.Soonest(now, quota.Share{Rate: a.Rate, Burst: a.Burst}, n, e.dataCentres())
+	return e.spender.MinWait(now, quota.Share{Rate: a.Rate, Burst: a.Burst}, n, e.dataCentres())
 }
 
 func (e *entry) refusal(now time.Time) *failure.Refusal {
