--- a/internal/serve/store.go
+++ b/internal/serve/store.go
@@ -80,7 +80,7 @@
 			}
 			return uint64(r), err == nil, err
 		},
-		Standing: m.Standing,
+		LeaseExists: m.Standing,
 		Lease:    m.Lease,
 		Epoch:    m.Epoch,
 	}
--- a/io/grants/seats.go
+++ b/io/grants/seats.go
@@ -14,77 +14,78 @@
 	"skylarkdeal/internal/sleep"
 )
 
-// Entry is one key of the store as it was read.
+// Entry is one key of the store as read, with its value.
 type Entry struct {
 	Key   string
 	Value []byte
-	// Revision is that of the key's last change; zero when it isn't there.
+	// Revision is the revision of the key's last change; zero if the key doesn't exist.
 	Revision uint64
 }
 
-// Store is what the seats need of the platform's store and of this host's
-// record there. All calls may fail while the store is down.
+// Store is the interface to the platform's store and to this host's record there.
+// All calls may fail while the store is down.
 type Store struct {
 	// List returns the keys that begin with prefix.
 	List func(ctx context.Context, prefix string) ([]Entry, error)
-	// Swap writes value if the key's revision is still old, zero if it isn't
-	// there, and reports the revision and whether it was.
+	// Swap writes value if the key's revision is still old, where zero means that the
+	// key doesn't exist. It returns the new revision and whether value was written.
 	Swap func(ctx context.Context, key string, old uint64, value []byte) (revision uint64, swapped bool, err error)
-	// Standing reports whether the store holds the record that a host wrote
-	// under the lease of that name.
-	Standing func(ctx context.Context, h fleet.Host, lease uint64) (bool, error)
-	// Lease returns the name of this host's lease and the time by its own clock
-	// until which it stands; a zero time when it doesn't.
+	// LeaseExists reports whether the store holds the record that a host wrote
+	// under the given lease.
+	LeaseExists func(ctx context.Context, h fleet.Host, lease uint64) (bool, error)
+	// Lease returns the id of this host's lease and the time on this host's clock
+	// until which it is valid; a zero time if it isn't.
 	Lease func() (lease uint64, until time.Time)
-	// Epoch returns the process epoch of another host.
+	// Epoch returns the process epoch of another host; zero if it isn't known.
 	Epoch func(fleet.Host) uint64
 }
 
-// SeatPrefix is where the seats are kept in the store, a key for each data centre.
+// SeatPrefix is the prefix of the ownership records in the store, one key for each data centre.
 const SeatPrefix = "/skylarkdeal/homes/"
 
-func seatName(d fleet.DataCentre, h roster.Shard) quota.OwnershipID {
+func ownershipID(d fleet.DataCentre, h roster.Shard) quota.OwnershipID {
 	return quota.OwnershipID(fmt.Sprintf("%s/%02d", d, h))
 }
 
-// seat is this host's view of one seat of its data centre.
-type seat struct {
-	tenure quota.Ownership
-	claim  quota.Claim
-	// yield is when this host, the holder, first saw another one win the duty.
-	yield time.Time
+// shardState is this host's view of the ownership of one shard of its data centre.
+type shardState struct {
+	ownership quota.Ownership
+	claim     quota.Claim
+	// notPreferredSince is when this host, the owner, first saw the roster assign the
+	// shard to another host.
+	notPreferredSince time.Time
 }
 
 const (
-	// restEvery is how often a host looks whether seats that another one holds
-	// have been given up: few of the calls that it may make of the store.
-	restEvery = 2 * time.Second
-	// seatEvery is how often seats are looked after: half the least time in
-	// which a lost host is noticed, so that it adds little to it.
-	seatEvery = 500 * time.Millisecond
-	// storeTimeout bounds a call of the store: twice its slowest answers.
+	// idleCheckInterval is how often a host checks whether shards that another host
+	// owns have been released. It uses few of the store calls that a host may make.
+	idleCheckInterval = 2 * time.Second
+	// checkInterval is how often ownership is checked: half the least time in which
+	// the loss of a host is detected, so that it adds little to that time.
+	checkInterval = 500 * time.Millisecond
+	// storeTimeout bounds a call to the store: twice its slowest answers.
 	storeTimeout = 4 * time.Second
-	// consentBefore is how long before its lease ends a holder asks for consent:
-	// two rounds of looking after the seats and a failed call in between.
-	consentBefore = 1500 * time.Millisecond
-	// yieldAfter is how long another host has to win the duty of a holder before
-	// that gives its seat up, so that a roster in motion moves nothing.
-	yieldAfter = 3 * time.Second
+	// consentLeadTime is how long before its lease ends an owner asks for consent:
+	// two checks of ownership and a failed call in between.
+	consentLeadTime = 1500 * time.Millisecond
+	// releaseDelay is how long the roster has to assign a shard to another host before
+	// the owner releases it, so that a short change of the roster moves no shard.
+	releaseDelay = 3 * time.Second
 )
 
-// keepSeats is the duty of taking, keeping and giving up seats.
-func (r *Runtime) keepSeats(ctx context.Context) {
+// maintainOwnership acquires, keeps and releases the ownership of shards until ctx ends.
+func (r *Runtime) maintainOwnership(ctx context.Context) {
 	for {
-		r.roundOfSeats(ctx)
-		if !sleep.For(ctx, seatEvery+rand.N(seatEvery/4)) {
+		r.checkOwnership(ctx)
+		if !sleep.For(ctx, checkInterval+rand.N(checkInterval/4)) {
 			return
 		}
 	}
 }
 
-func (r *Runtime) roundOfSeats(ctx context.Context) {
+func (r *Runtime) checkOwnership(ctx context.Context) {
 	if r.cfg.Store.List == nil {
-		r.takeUnfenced()
+		r.acquireUnfenced()
 		return
 	}
 	here := roster.InDataCentre(r.cfg.Members(), r.cfg.DataCentre)
@@ -92,46 +93,47 @@
 	for h := roster.Shard(0); h < roster.Shards; h++ {
 		w, ok := roster.DutyHolder(here, roster.Home(r.cfg.DataCentre, h))
 		mine := ok && w.Host == r.cfg.Host && !w.Leaving
-		renewed := r.renew(h)
-		r.yield(h, mine)
+		renewed := r.syncLease(h)
+		r.releaseIfNotPreferred(h, mine)
 		if mine && !renewed && !r.isLeaving() {
 			claims = append(claims, h)
 		}
 	}
-	r.changeIfDue(ctx, claims)
+	r.updateRecordIfDue(ctx, claims)
 	r.claiming.Store(len(claims) > 0 && !r.isLeaving())
 	r.askConsent(ctx)
 }
 
-// Claiming reports whether seats fall to this host that it doesn't hold yet: the
-// accounts whose home they make it have to borrow tokens elsewhere until then.
-func (r *Runtime) Claiming() bool {
+// AcquiringOwnership reports whether the roster assigns shards to this host that it doesn't
+// own yet. Until it owns them, the accounts in them borrow tokens from the homes in
+// other data centres.
+func (r *Runtime) AcquiringOwnership() bool {
 	return r.claiming.Load()
 }
 
-// changeIfDue changes the record of the seats where there is something to do. A
-// host whose claims rest, because another one still holds the seats, looks only
-// every restEvery.
-func (r *Runtime) changeIfDue(ctx context.Context, claims []roster.Shard) {
+// updateRecordIfDue updates the ownership record if there is something to change. If
+// its claims have to wait because another host still owns the shards, the host
+// checks the record only every idleCheckInterval.
+func (r *Runtime) updateRecordIfDue(ctx context.Context, claims []roster.Shard) {
 	r.mu.Lock()
-	giving := len(r.given) > 0
+	giving := len(r.released) > 0
 	r.mu.Unlock()
-	now := r.clock.early()
-	if !giving && (len(claims) == 0 || now.Before(r.rest)) {
+	now := r.clock.monotonic()
+	if !giving && (len(claims) == 0 || now.Before(r.nextCheck)) {
 		return
 	}
-	moving, err := r.changeSeats(ctx, claims)
+	moving, err := r.updateRecord(ctx, claims)
 	if err != nil {
 		r.cfg.Logger.Warn("seats not changed", zap.Error(err))
 	}
 	if !moving {
-		r.rest = now.Add(restEvery)
+		r.nextCheck = now.Add(idleCheckInterval)
 	}
 }
 
-// takeUnfenced holds every seat that falls to this host by its own roster.
-func (r *Runtime) takeUnfenced() {
-	forever := r.clock.late().Add(time.Hour)
+// acquireUnfenced acquires every shard that this host's own roster assigns to it.
+func (r *Runtime) acquireUnfenced() {
+	forever := r.clock.suspendAware().Add(time.Hour)
 	here := roster.InDataCentre(r.cfg.Members(), r.cfg.DataCentre)
 	for h := roster.Shard(0); h < roster.Shards; h++ {
 		w, ok := roster.DutyHolder(here, roster.Home(r.cfg.DataCentre, h))
@@ -139,33 +141,33 @@
 		s := r.seat(h)
 		switch {
 		case !ok || w.Host != r.cfg.Host || r.leaving:
-			r.lose(h, s)
-		case s.tenure.Held():
-			s.tenure.LeaseRenewed(0, forever)
+			r.handleLost(h, s)
+		case s.ownership.Held():
+			s.ownership.LeaseRenewed(0, forever)
 		default:
-			s.tenure.Acquired(quota.OwnershipRecord{Owner: r.process()})
-			s.tenure.LeaseRenewed(0, forever)
+			s.ownership.Acquired(quota.OwnershipRecord{Owner: r.process()})
+			s.ownership.LeaseRenewed(0, forever)
 			r.startHomes(h, nil)
 		}
 		r.mu.Unlock()
 	}
 }
 
-func (r *Runtime) seat(h roster.Shard) *seat {
-	n := seatName(r.cfg.DataCentre, h)
-	s := r.seats[n]
+func (r *Runtime) seat(h roster.Shard) *shardState {
+	n := ownershipID(r.cfg.DataCentre, h)
+	s := r.shardStates[n]
 	if s == nil {
-		s = &seat{}
-		r.seats[n] = s
+		s = &shardState{}
+		r.shardStates[n] = s
 	}
 	return s
 }
 
-func (r *Runtime) lose(h roster.Shard, s *seat) {
-	if s.tenure.Held() {
-		s.tenure.Lost()
+func (r *Runtime) handleLost(h roster.Shard, s *shardState) {
+	if s.ownership.Held() {
+		s.ownership.Lost()
 		r.dropHomes(h)
-		r.note(h, "lose", "another host holds it, or it was given up")
+		r.recordDecision(h, "lose", "another host owns it, or it was released")
 	}
 }
 
@@ -179,28 +181,29 @@
 	return r.leaving
 }
 
-// renew takes over the state of the host's lease, and reports whether the seat
-// is held under that lease and with a live witness, so that nothing has to be
-// written.
-func (r *Runtime) renew(h roster.Shard) bool {
+// syncLease copies the state of the host's lease to the shard's ownership, and reports
+// whether the shard is owned and nothing has to be written: it is owned under that
+// lease and with a usable witness, or the lease has expired.
+func (r *Runtime) syncLease(h roster.Shard) bool {
 	lease, until := r.cfg.Store.Lease()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.seat(h)
-	if !s.tenure.Held() {
+	if !s.ownership.Held() {
 		return false
 	}
-	if lease != s.tenure.Record().Lease && !until.IsZero() {
+	if lease != s.ownership.Record().Lease && !until.IsZero() {
 		return false
 	}
-	s.tenure.LeaseRenewed(lease, until)
-	return !r.clock.late().Before(until) || r.witnessServes(s.tenure.Record().Witness)
+	s.ownership.LeaseRenewed(lease, until)
+	return !r.clock.suspendAware().Before(until) || r.witnessUsable(s.ownership.Record().Witness)
 }
 
-// witnessServes reports whether the witness is a live member of the epoch that
-// the record names, and as near as any, or there is none to be had. A witness in
-// another data centre is of no use when this one is cut off.
-func (r *Runtime) witnessServes(p quota.Process) bool {
+// witnessUsable reports whether the witness is a live member of the epoch that the
+// record names and no host in this data centre would be a better choice, or whether
+// there is no witness to name. A witness in another data centre is of no use when
+// this one is cut off.
+func (r *Runtime) witnessUsable(p quota.Process) bool {
 	if p == (quota.Process{}) {
 		return r.pickWitness() == p
 	}
@@ -212,48 +215,48 @@
 	return m.DataCentre == r.cfg.DataCentre || best.DataCentre != r.cfg.DataCentre
 }
 
-// yield gives the seat to the host that wins its duty, once that has lasted.
-func (r *Runtime) yield(h roster.Shard, mine bool) {
+// releaseIfNotPreferred releases a shard that the roster has assigned to another host for releaseDelay.
+func (r *Runtime) releaseIfNotPreferred(h roster.Shard, preferred bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.seat(h)
-	now := r.clock.early()
-	if mine {
-		s.yield = time.Time{}
-	} else if s.yield.IsZero() {
-		s.yield = now
+	now := r.clock.monotonic()
+	if preferred {
+		s.notPreferredSince = time.Time{}
+	} else if s.notPreferredSince.IsZero() {
+		s.notPreferredSince = now
 	}
-	if !mine && s.tenure.Held() && now.Sub(s.yield) >= yieldAfter {
-		r.giveUp(h)
+	if !preferred && s.ownership.Held() && now.Sub(s.notPreferredSince) >= releaseDelay {
+		r.release(h)
 	}
 }
 
-// given is a seat that this host has given up, while the store may not know it.
-type given struct {
+// releasedShard is a shard that this host has released, possibly not yet in the store.
+type releasedShard struct {
 	tenure uint64
-	left   []leftover
+	left   []remainingTokens
 }
 
-// giveUp stops granting; the next change of the record says so in the store, with
-// what the homes have left: the successor need not wait for a lease to end, nor
-// start empty. r.mu is held.
-func (r *Runtime) giveUp(h roster.Shard) {
+// release stops granting. The next update of the record writes the release to the
+// store, with the tokens left in the homes, so that the successor need not wait for
+// a lease to end, nor start empty. r.mu is held.
+func (r *Runtime) release(h roster.Shard) {
 	s := r.seat(h)
-	if !s.tenure.Held() {
+	if !s.ownership.Held() {
 		return
 	}
-	rec := s.tenure.Record()
-	r.given[h] = given{rec.Tenure, r.leftovers(h)}
+	rec := s.ownership.Record()
+	r.released[h] = releasedShard{rec.Tenure, r.leftovers(h)}
 	s.claim.SwapSent(rec)
-	s.yield = time.Time{}
-	r.lose(h, s)
+	s.notPreferredSince = time.Time{}
+	r.handleLost(h, s)
 }
 
-// heldShards returns the shards whose seats this host holds.
-func (r *Runtime) heldShards() []roster.Shard {
+// ownedShards returns the shards that this host owns.
+func (r *Runtime) ownedShards() []roster.Shard {
 	var out []roster.Shard
 	for h := roster.Shard(0); h < roster.Shards; h++ {
-		if r.seat(h).tenure.Held() {
+		if r.seat(h).ownership.Held() {
 			out = append(out, h)
 		}
 	}
