--- a/internal/serve/store.go
+++ b/internal/serve/store.go
@@ -81,8 +81,8 @@
 			return uint64(r), err == nil, err
 		},
 		LeaseExists: m.Standing,
-		Lease:    m.Lease,
-		Epoch:    m.Epoch,
+		Lease:       m.Lease,
+		Epoch:       m.Epoch,
 	}
 }
 
