--- a/io/groupmonitor/bench_test.go
+++ b/io/groupmonitor/bench_test.go
@@ -13,9 +13,9 @@
 	"skylarkdeal/standin/ledger"
 )
 
-// BenchmarkFailover measures the time from the last good answer of the primary
-// to the next acknowledged write, of a caller that writes on through one host
-// while the primary fails. Run it with -benchtime 30x or more.
+// BenchmarkFailover measures the time from the last acknowledged write in the
+// first term to the next one in a later term, for a caller that keeps writing
+// through one host. Run it with -benchtime 30x or more.
 func BenchmarkFailover(b *testing.B) {
 	for _, kind := range []string{"crash", "hang", "cut"} {
 		b.Run(kind, func(b *testing.B) {
@@ -42,12 +42,12 @@
 	return float64(d.Microseconds()) / 1000
 }
 
-// settleTime is when the quick questions of a start are over, which would make
-// the other hosts notice the failure sooner than they do later on.
+// settleTime is the time after which the fast polling of the start has ended.
+// During it the other hosts would notice the failure sooner than later on.
 const settleTime = 3500 * time.Millisecond
 
-// failOnce runs one failover. The n-th run fails the primary at another phase
-// of the hosts' timers and through another host.
+// failOnce runs one failover. Each n fails the primary at another phase of the
+// hosts' timers and writes through another host.
 func failOnce(b *testing.B, kind string, n int) (time.Duration, *writer) {
 	b.Helper()
 	f := newFleet(b, time.Millisecond)
@@ -78,7 +78,8 @@
 	}
 }
 
-// strike fails instance a, the primary. A cut leaves it with host h0.
+// strike injects a fault into instance a, the primary. A cut leaves it
+// reachable for host h0 only.
 func (f *fleetOf) strike(kind string) {
 	switch kind {
 	case "crash":
@@ -131,9 +132,9 @@
 	b.ReportMetric(ms(took[len(took)*99/100]), "p99-ms")
 }
 
-// BenchmarkCalm counts promotions, of which none is due, in runs of 4 s with one
-// fault each: one host's link to the primary is cut, the primary's answers take
-// 400 ms, or the preferred holder is paused for 2 s.
+// BenchmarkCalm counts promotions, of which none is due, in runs of 4 s with
+// one fault each: one host's link to the primary is cut, the primary's statuses
+// take 400 ms, or the preferred holder is paused for 2 s.
 func BenchmarkCalm(b *testing.B) {
 	faults := map[string]func(f *fleetOf){
 		"bad-link": func(f *fleetOf) {
@@ -170,9 +171,10 @@
 	return f.group.Status(f.group.Primary()).Promised - 1
 }
 
-// BenchmarkIdle reports what three holders spend on groups without traffic, for
-// one to thirty-two groups: questions and processor time a second and a holder.
-// The instances of the stand-in run in the same process and are part of it.
+// BenchmarkIdle reports the cost of groups without traffic for three holders,
+// from one to thirty-two groups: status requests and processor time per second
+// and holder. The instances of the stand-in run in the same process and are
+// included.
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range []int{1, 8, 32} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) {
--- a/io/groupmonitor/cluster_test.go
+++ b/io/groupmonitor/cluster_test.go
@@ -26,7 +26,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// fault is what has befallen an instance, to one host or to all.
+// fault is the fault of an instance, as all hosts see it.
 type fault string
 
 const (
@@ -43,28 +43,28 @@
 	stop context.CancelFunc
 	wait sync.WaitGroup
 	doc  document.Document
-	// moved takes the place of doc once it is set.
+	// moved replaces doc once it is set.
 	moved     atomic.Pointer[document.Document]
 	hosts     []fleet.Member
-	stewards  map[fleet.Host]*groupmonitor.Steward
+	stewards  map[fleet.Host]*groupmonitor.Monitor
 	journals  map[fleet.Host]*journal.Journal
 	link      time.Duration
 	mu        sync.Mutex
 	instances map[fleet.Instance]*grouptest.Instance
 	faults    map[fleet.Instance]fault
-	// cut are the hosts that don't reach an instance, away those that no other
-	// host reaches.
+	// cut holds, by host, the instances that it can't reach; away the hosts
+	// that no other host reaches.
 	cut  map[fleet.Host]map[fleet.Instance]bool
 	away map[fleet.Host]bool
 	slow map[fleet.Instance]time.Duration
 	// alone are the instances that no other reaches.
 	alone map[fleet.Instance]bool
-	// questions counts the status reads of each host.
+	// questions counts the status requests of each host.
 	questions map[fleet.Host]int
 	// closed counts the connections that each host has closed.
 	closed map[fleet.Host]int
-	// slept is how far h0's clock is ahead, as after a pause of its process; looks, once it is
-	// set, is called before each look at that clock.
+	// slept is how far h0's clock is ahead, as after a pause of its process.
+	// looks, once it is set, is called before each reading of that clock.
 	slept atomic.Int64
 	looks atomic.Pointer[func()]
 }
@@ -78,12 +78,12 @@
 }
 
 // newCluster starts a group of three instances in three data centres with a
-// holder in each, whose replicas copy every lag.
+// holder in each. A replica has its primary's entries after lag.
 func newCluster(tb testing.TB, lag time.Duration) *cluster {
 	tb.Helper()
 	c := &cluster{
 		link:      time.Millisecond,
-		stewards:  make(map[fleet.Host]*groupmonitor.Steward),
+		stewards:  make(map[fleet.Host]*groupmonitor.Monitor),
 		journals:  make(map[fleet.Host]*journal.Journal),
 		instances: make(map[fleet.Instance]*grouptest.Instance),
 		faults:    make(map[fleet.Instance]fault),
@@ -110,7 +110,8 @@
 	for n, m := range c.hosts {
 		c.prepare(m, uint64(n))
 	}
-	// They ask each other from the start on.
+	// The monitors request views from each other from the start, so all are
+	// made before one runs.
 	for _, s := range c.stewards {
 		c.wait.Go(func() { s.Run(c.ctx) })
 	}
@@ -273,15 +274,15 @@
 	f()
 }
 
-// asked returns how many questions a host has asked.
+// asked returns the number of status requests of a host.
 func (c *cluster) asked(h fleet.Host) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.questions[h]
 }
 
-// keeps checks that the primary of the highest term has all that was
-// acknowledged.
+// keeps checks that the primary of the highest term has all acknowledged
+// writes.
 func (c *cluster) keeps(tb testing.TB, acked map[fleet.LogPosition]string) {
 	tb.Helper()
 	c.mu.Lock()
@@ -301,7 +302,7 @@
 
 var errNoPrimary = errors.New("no primary is known")
 
-// write has a value written through one host and waits for its acknowledgement.
+// write writes a value through one host and waits for its acknowledgement.
 func (c *cluster) write(
 	h fleet.Host, rule document.Acknowledge, value string, limit time.Duration,
 ) (fleet.LogPosition, error) {
--- a/io/groupmonitor/groupmonitor.go
+++ b/io/groupmonitor/groupmonitor.go
@@ -1,6 +1,6 @@
-// Package groupmonitor runs one database group on one of its holders: it asks the
-// instances for their status, proves to waiting requests what they need proven,
-// and changes the primary when it fails. core/group decides all of that.
+// Package groupmonitor runs one database group on one of its holders: it polls
+// the instances for their status, gives waiting requests the proof they need,
+// and changes the primary when it fails. core/group makes these decisions.
 package groupmonitor
 
 import (
@@ -22,128 +22,132 @@
 	"skylarkdeal/io/host/hostpb"
 )
 
-// Config is what a Steward needs. Service, Host, Document and Dial are
-// required.
+// Config configures a Monitor. Service, Host, Document and Dial are required.
 type Config struct {
 	Service    fleet.Service
 	Host       fleet.Host
 	DataCentre fleet.DataCentre
-	// Epoch tells this process from others that had the same host name.
+	// Epoch distinguishes this process from earlier ones with the same host
+	// name.
 	Epoch uint64
 	// Document returns the service's document in effect; nil while there is none.
 	Document func() *document.Document
-	// Dial returns the way to an instance. The Steward closes it.
+	// Dial returns a client for an instance. The Monitor closes it.
 	Dial func(i document.Instance) control.Client
 	// Holders returns the hosts that hold the group's connections, this one
 	// among them, the preferred one first.
 	Holders func() []fleet.Member
-	// AskView asks another holder how it sees the group.
+	// AskView requests another holder's view of the group. If nil, no views are
+	// requested.
 	AskView func(ctx context.Context, m fleet.Member) (*hostpb.ViewResponse, error)
-	// Policy bounds when the primary counts as failed.
+	// Policy decides when the primary counts as failed.
 	Policy group.Policy
 	// Now returns the time with its monotonic part; time.Now if nil.
 	Now        func() time.Time
 	Logger     *zap.Logger
 	Registerer prometheus.Registerer
 	Journal    *journal.Journal
-	// Seed makes the back-off differ between hosts.
+	// Seed makes the random part of the back-off differ between hosts.
 	Seed uint64
 }
 
-// Steward runs one group on one holder. New makes one, Run runs it.
-type Steward struct {
-	cfg     Config
-	log     *zap.Logger
-	metrics metrics
-	events  ring.Ring[event]
-	table   atomic.Pointer[group.Snapshot]
-	state   atomic.Pointer[State]
-	watched atomic.Pointer[func()]
-	// alert is until when, in Unix nanoseconds, another host's suspicion has
-	// this one ask quickly.
-	alert atomic.Int64
-	once  sync.Once
-	ended chan struct{}
+// Monitor runs one group on one holder. New creates it, Run runs it.
+type Monitor struct {
+	cfg      Config
+	log      *zap.Logger
+	metrics  metrics
+	events   ring.Ring[event]
+	snapshot atomic.Pointer[group.Snapshot]
+	state    atomic.Pointer[State]
+	onChange atomic.Pointer[func()]
+	// fastPollUntil is the time, in Unix nanoseconds, until which this host
+	// polls quickly because another host requested its view.
+	fastPollUntil atomic.Int64
+	once          sync.Once
+	stopped       chan struct{}
 
 	loop
 }
 
-// loop is the part of a Steward that its one goroutine owns.
+// loop is the part of a Monitor that only the goroutine of Run accesses.
 type loop struct {
-	ctx     context.Context
-	duties  sync.WaitGroup
-	rand    *rand.Rand
-	doc     *document.Document
-	group   group.Group
-	links   map[fleet.Instance]*link
-	waiting []*waiter
-	views   map[fleet.Host]group.View
-	viewing fleet.Set[fleet.Host]
-	change  change
-	busy    time.Time
-	// policy is the Config's, as the document has it.
+	ctx           context.Context
+	goroutines    sync.WaitGroup
+	rand          *rand.Rand
+	doc           *document.Document
+	group         group.Group
+	links         map[fleet.Instance]*link
+	waiting       []*waiter
+	views         map[fleet.Host]group.View
+	viewsPending  fleet.Set[fleet.Host]
+	change        change
+	lastWaitingAt time.Time
+	// policy is Config.Policy with the settings of the document applied.
 	policy group.Policy
-	// quorate is when a majority of the instances last answered.
-	quorate time.Time
-	// members are the group's holders as of membersAt.
+	// lastQuorumAt is when a majority of the instances last answered.
+	lastQuorumAt time.Time
+	// members are the group's holders as read at membersAt.
 	members   []fleet.Member
 	membersAt time.Time
-	// needed is when this host last was a holder or had requests waiting.
-	needed time.Time
+	// lastNeededAt is when this host last was a holder, had requests waiting or
+	// ran a promotion.
+	lastNeededAt time.Time
 }
 
-// eventRoom is how many events may wait for the loop. Writes that wait for a
-// proof are the most of them, and a holder has far fewer connections than this.
-const eventRoom = 4096
+// maxQueuedEvents is how many events may wait for the loop. Most of them are
+// writes that wait for a proof, and a holder has far fewer connections than
+// this.
+const maxQueuedEvents = 4096
 
-// New returns a Steward that is not yet running.
-func New(cfg Config) *Steward {
+// New returns a Monitor that is not yet running.
+func New(cfg Config) *Monitor {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
 	if cfg.Logger == nil {
 		cfg.Logger = zap.NewNop()
 	}
-	s := &Steward{
+	s := &Monitor{
 		cfg:     cfg,
 		log:     cfg.Logger.With(zap.String("service", string(cfg.Service))),
 		metrics: newMetrics(cfg.Registerer),
-		events:  ring.New[event](eventRoom),
-		ended:   make(chan struct{}),
+		events:  ring.New[event](maxQueuedEvents),
+		stopped: make(chan struct{}),
 	}
 	s.policy = cfg.Policy
 	s.rand = rand.New(rand.NewPCG(cfg.Seed, cfg.Epoch))
 	s.links = make(map[fleet.Instance]*link)
 	s.views = make(map[fleet.Host]group.View)
-	s.viewing = fleet.NewSet[fleet.Host]()
-	s.table.Store(&group.Snapshot{})
+	s.viewsPending = fleet.NewSet[fleet.Host]()
+	s.snapshot.Store(&group.Snapshot{})
 	s.state.Store(&State{Service: cfg.Service})
 	return s
 }
 
-// Snapshot returns what is known of the group. It doesn't wait.
-func (s *Steward) Snapshot() group.Snapshot {
-	return *s.table.Load()
+// Snapshot returns the state of the group as of the last step. It doesn't
+// block.
+func (s *Monitor) Snapshot() group.Snapshot {
+	return *s.snapshot.Load()
 }
 
-// OnChange has f called, on the Steward's own goroutine, whenever the primary,
-// the term or the end of an instance's log has changed. f must not block.
-func (s *Steward) OnChange(f func()) {
-	s.watched.Store(&f)
+// OnChange registers f, which the goroutine of Run calls whenever the primary,
+// the term, the number of instances or the status of an instance has changed. f
+// must not block. Only the last f registered is called.
+func (s *Monitor) OnChange(f func()) {
+	s.onChange.Store(&f)
 }
 
-// event is something that the loop has to take up; the field that is set says
-// what.
+// event is an input of the loop; exactly one field is set.
 type event struct {
-	answer *answer
-	done   *done
+	answer *statusResult
+	done   *commandResult
 	wait   *waiter
-	view   *viewed
+	view   *viewResult
 }
 
 // Run runs the group until ctx ends. It returns when all its goroutines have
-// ended and all that waited has been answered.
-func (s *Steward) Run(ctx context.Context) {
+// ended and all waiting requests have been answered.
+func (s *Monitor) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.ctx = ctx
@@ -152,7 +156,7 @@
 	for ctx.Err() == nil {
 		select {
 		case e := <-s.events.Out():
-			s.take(e)
+			s.handleEvent(e)
 		case <-timer.C:
 		case <-ctx.Done():
 		}
@@ -160,83 +164,83 @@
 		timer.Reset(s.step(s.cfg.Now()))
 	}
 	cancel()
-	s.finish()
+	s.shutDown()
 }
 
-// drainLimit bounds how many events are taken up between two steps, so that
-// deadlines are looked at even while events pour in.
-const drainLimit = 256
+// maxEventsPerStep bounds how many events are handled between two steps, so
+// that deadlines are checked even while many events arrive.
+const maxEventsPerStep = 256
 
-func (s *Steward) drain() {
-	for range drainLimit {
+func (s *Monitor) drain() {
+	for range maxEventsPerStep {
 		e, ok := s.events.TryTake()
 		if !ok {
 			return
 		}
-		s.take(e)
+		s.handleEvent(e)
 	}
 }
 
-func (s *Steward) take(e event) {
+func (s *Monitor) handleEvent(e event) {
 	switch {
 	case e.answer != nil:
-		s.takeAnswer(*e.answer)
+		s.handleStatus(*e.answer)
 	case e.done != nil:
-		s.takeDone(*e.done)
+		s.handleCommandResult(*e.done)
 	case e.wait != nil:
 		s.waiting = append(s.waiting, e.wait)
 	case e.view != nil:
-		s.takeView(*e.view)
+		s.handlePeerView(*e.view)
 	}
 }
 
-// step does what is due at now and returns the time until the next step.
-func (s *Steward) step(now time.Time) time.Duration {
+// step does all work due at now and returns the time until the next step.
+func (s *Monitor) step(now time.Time) time.Duration {
 	if s.group.Tick(now) {
-		s.note(now, "wait", "this host was paused; the instances' silence counts anew")
+		s.recordDecision(now, "wait", "this host was paused; the silence of the instances is measured anew")
 	}
-	s.recall(now)
-	if s.resting(now) {
-		s.rest(now)
+	s.refreshMembers(now)
+	if s.isIdle(now) {
+		s.disconnect(now)
 	} else {
-		s.adopt(now)
+		s.applyDocument(now)
 	}
 	t := s.publish(now)
-	if t.HasQuorum(now) || s.quorate.IsZero() {
-		s.quorate = now
+	if t.HasQuorum(now) || s.lastQuorumAt.IsZero() {
+		s.lastQuorumAt = now
 	}
-	s.settle(now, t)
+	s.completeWaiters(now, t)
 	s.failOver(now, t)
-	s.ask(now, t)
-	return s.next(now)
+	s.pollInstances(now, t)
+	return s.nextStepIn(now)
 }
 
-// next returns the time until the next step.
-func (s *Steward) next(now time.Time) time.Duration {
-	d := tick
+// nextStepIn returns the time until the next step.
+func (s *Monitor) nextStepIn(now time.Time) time.Duration {
+	d := maxStepInterval
 	for _, w := range s.waiting {
-		d = min(d, w.pause(now), w.deadline.Sub(now))
+		d = min(d, w.retryInterval(now), w.deadline.Sub(now))
 	}
-	return max(d, againLeast/2)
+	return max(d, minRetryInterval/2)
 }
 
-// tick is the longest time between two steps. It bounds how late a deadline or
-// a suspicion is noticed, and costs some 100 steps a second for a host with
-// three groups.
-const tick = 25 * time.Millisecond
+// maxStepInterval is the longest time between two steps. It bounds how late a
+// deadline or a suspicion is noticed. A host with three groups runs some 100
+// steps a second.
+const maxStepInterval = 25 * time.Millisecond
 
-func (s *Steward) publish(now time.Time) group.Snapshot {
+func (s *Monitor) publish(now time.Time) group.Snapshot {
 	t := s.group.Snapshot(now)
-	changed := differs(*s.table.Load(), t)
-	s.table.Store(&t)
-	s.state.Store(s.snapshot(t))
-	if f := s.watched.Load(); changed && f != nil {
+	changed := snapshotChanged(*s.snapshot.Load(), t)
+	s.snapshot.Store(&t)
+	s.state.Store(s.newState(t))
+	if f := s.onChange.Load(); changed && f != nil {
 		(*f)()
 	}
 	return t
 }
 
-func differs(a, b group.Snapshot) bool {
+func snapshotChanged(a, b group.Snapshot) bool {
 	if a.Primary != b.Primary || a.Term != b.Term || len(a.Observations) != len(b.Observations) {
 		return true
 	}
@@ -248,16 +252,16 @@
 	return false
 }
 
-func (s *Steward) finish() {
-	s.once.Do(func() { close(s.ended) })
+func (s *Monitor) shutDown() {
+	s.once.Do(func() { close(s.stopped) })
 	for _, l := range s.links {
 		l.close()
 	}
-	s.duties.Wait()
+	s.goroutines.Wait()
 	s.drainWaiters()
 }
 
-func (s *Steward) note(now time.Time, choice, reason string) {
+func (s *Monitor) recordDecision(now time.Time, choice, reason string) {
 	s.cfg.Journal.Add(journal.Decision{
 		At: now, Kind: journal.KindFailover, Subject: "service=" + string(s.cfg.Service),
 		Choice: choice, Reason: reason,
--- a/io/groupmonitor/groupmonitor_test.go
+++ b/io/groupmonitor/groupmonitor_test.go
@@ -17,8 +17,8 @@
 	"skylarkdeal/core/group/grouptest"
 )
 
-// writeUntil writes through h until f accepts an acknowledged point, and
-// returns all that was acknowledged.
+// writeUntil writes through h until f accepts the position of an acknowledged
+// write, and returns all acknowledged writes.
 func (c *cluster) writeUntil(tb testing.TB, h fleet.Host,
 	f func(p fleet.LogPosition) bool) map[fleet.LogPosition]string {
 	tb.Helper()
@@ -37,7 +37,8 @@
 	return acked
 }
 
-// explained reports whether a host's journal tells who was promoted, and why.
+// explained reports whether the journals name the promoted instance and the
+// reason.
 func (c *cluster) explained() bool {
 	var who, why bool
 	for _, j := range c.journals {
@@ -53,9 +54,9 @@
 
 func laterTerm(p fleet.LogPosition) bool { return p.Term > 1 }
 
-// The primary dies while an order client writes. Nobody orders a promotion; the
-// next order is confirmed by a new primary that has all the earlier ones. When
-// the dead one comes back, it follows.
+// The primary crashes or hangs while a client writes, and no operator steps in.
+// The next write has to be acknowledged by a new primary that has all earlier
+// ones. When the old primary comes back, it has to become a replica.
 func TestDeadPrimaryIsReplacedAndComesBackAsReplica(t *testing.T) {
 	for _, f := range []fault{crashed, hung} {
 		t.Run(string(f), func(t *testing.T) {
@@ -76,9 +77,9 @@
 	}
 }
 
-// The primary is cut off with one host, and that host's callers go on writing.
-// They get no confirmation, only an unknown outcome, while the other side goes
-// on with a new primary; once the cut heals, all agree on it.
+// The primary is cut off together with one host whose callers go on writing.
+// They must get an unknown outcome and no confirmation, while the other hosts
+// go on with a new primary. Once the partition heals, all hosts agree on it.
 func TestCutOffPrimaryConfirmsNothing(t *testing.T) {
 	q := qt.New(t)
 	c := newCluster(t, time.Millisecond)
@@ -89,7 +90,8 @@
 		c.cut["h1"]["a"], c.cut["h2"]["a"] = true, true
 		c.cut["h0"]["b"], c.cut["h0"]["c"] = true, true
 	})
-	// The instances' own links are cut too: nothing is copied any more.
+	// The links between the instances are cut too: nothing is replicated any
+	// more.
 	c.set(func() { c.alone["a"] = true })
 	_, err := c.write("h0", document.AcknowledgeReplicated, "far side", 300*time.Millisecond)
 	var r *failure.Refusal
@@ -113,8 +115,8 @@
 }
 
 // The primary is cut off from its replicas and from two of the three hosts. The
-// third reaches everyone and finds the primary well, but no write that is sent
-// there can be confirmed.
+// third host reaches all instances and finds the primary healthy, but no write
+// sent through it can be confirmed, so the primary has to be replaced.
 func TestPrimaryLeftWithOneHostIsReplaced(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	c.ready(t)
@@ -129,7 +131,7 @@
 }
 
 // One instance doesn't answer. Writes must not wait for it: the others are a
-// majority.
+// majority. When a second one is silent, no write may be confirmed.
 func TestSilentReplicaDelaysNoWrite(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	c.ready(t)
@@ -142,8 +144,8 @@
 	qt.New(t).Assert(err, qt.IsNotNil)
 }
 
-// Writes that wait together are served by one round: a hundred of them ask each
-// instance far fewer than a hundred times.
+// Writes that wait together are served by one round of status requests: a
+// hundred of them cause far fewer than a hundred requests.
 func TestOneRoundServesAllWaiting(t *testing.T) {
 	q := qt.New(t)
 	c := newCluster(t, time.Millisecond)
@@ -162,8 +164,8 @@
 	q.Assert(c.asked("h0")-before < 50, qt.IsTrue)
 }
 
-// A caller without a token reads: the point has to be obtained after the call,
-// from a primary that a majority stands by, or not at all.
+// A caller without a token reads. The position has to be obtained after the
+// call, from a primary that a majority confirms, or the read is refused.
 func TestFreshPointCoversWhatWasAcknowledged(t *testing.T) {
 	q := qt.New(t)
 	c := newCluster(t, time.Millisecond)
@@ -191,8 +193,8 @@
 	return r.proof, r.err
 }
 
-// A host stops while a write waits for its proof. The caller must hear that the
-// outcome is unknown instead of waiting for ever.
+// A host stops while a write waits for its proof. The caller must get an
+// unknown outcome instead of waiting for ever.
 func TestStoppingAnswersAllThatWait(t *testing.T) {
 	q := qt.New(t)
 	c := newCluster(t, time.Millisecond)
@@ -215,7 +217,7 @@
 	c := newCluster(t, time.Millisecond)
 	c.ready(t)
 	c.writeUntil(t, "h0", anyPoint)
-	// Nothing is proved until the pause has been prepared.
+	// No write can be proved until the pause has been prepared.
 	c.set(func() { c.faults["b"], c.faults["c"] = hung, hung })
 	h := c.stewards["h0"]
 	var at fleet.LogPosition
@@ -240,24 +242,25 @@
 	q.Assert(c.slept.Load(), qt.Equals, int64(time.Second))
 }
 
-// The primary has all its connections in use and refuses another one to ask for
-// its status. A promotion would add to the load, and is not due.
+// The primary has all its connections in use and refuses another one for a
+// status request. A promotion would add to the load and must not happen.
 func TestPrimaryWithoutFreeConnectionsIsNotReplaced(t *testing.T) {
 	q := qt.New(t)
 	c := newCluster(t, time.Millisecond)
 	c.ready(t)
 	c.set(func() { c.faults["a"] = full })
 	from := c.asked("h0")
-	// At the slowest pace this takes longer than any silence that is borne.
+	// At the longest poll interval this takes longer than any silence that is
+	// tolerated.
 	eventually(t, func() bool { return c.asked("h0")-from > 40 })
 	q.Assert(c.stewards["h0"].Snapshot().Term, qt.Equals, fleet.Term(1))
 	c.set(func() { c.faults["a"] = healthy })
 	c.writeUntil(t, "h0", func(p fleet.LogPosition) bool { return p.Term == 1 })
 }
 
-// Hosts come and go, and others become holders. One that isn't a holder any more
-// must not keep its connections, or the new ones find none; a transaction that it
-// still has can be confirmed, and it may become a holder again.
+// Hosts come and go, and others become holders. A former holder must close its
+// connections, or the new holders find none free. A transaction that it still
+// has can be confirmed, and it may become a holder again.
 func TestFormerHolderGivesUpItsConnections(t *testing.T) {
 	q := qt.New(t)
 	c := newCluster(t, time.Millisecond)
@@ -272,8 +275,8 @@
 	c.writeUntil(t, "h2", anyPoint)
 }
 
-// An instance moves to another address, where nothing answers yet. What the old
-// address said must not count for what will stand at the new one.
+// An instance moves to another address, where no server answers yet. The status
+// from the old address must not count for the new one.
 func TestMovedInstanceIsAskedAnew(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	c.ready(t)
--- a/io/groupmonitor/hold.go
+++ b/io/groupmonitor/hold.go
@@ -8,7 +8,7 @@
 	"skylarkdeal/core/fleet"
 )
 
-func (s *Steward) adopt(now time.Time) {
+func (s *Monitor) applyDocument(now time.Time) {
 	d := s.cfg.Document()
 	if d == nil || d == s.doc {
 		return
@@ -30,38 +30,38 @@
 		l.close()
 	}
 	s.links = links
-	s.note(now, "configure", "a document is in effect")
+	s.recordDecision(now, "configure", "a document is in effect")
 }
 
-// memberLife is how long the holders are remembered: to rank hundreds of hosts
-// at each step would cost more than all else a step does.
-const memberLife = 100 * time.Millisecond
+// maxMembersAge is how long the list of holders is cached: ranking hundreds of
+// hosts at each step would cost more than the rest of the step.
+const maxMembersAge = 100 * time.Millisecond
 
-func (s *Steward) recall(now time.Time) {
-	if s.cfg.Holders == nil || now.Sub(s.membersAt) < memberLife {
+func (s *Monitor) refreshMembers(now time.Time) {
+	if s.cfg.Holders == nil || now.Sub(s.membersAt) < maxMembersAge {
 		return
 	}
 	s.members, s.membersAt = s.cfg.Holders(), now
 }
 
-// restAfter is how long a host that holds the group no more keeps its
+// idleTimeout is how long a host that no longer holds the group keeps its
 // connections: its last transactions may still have a commit to confirm.
-const restAfter = 2 * time.Second
+const idleTimeout = 2 * time.Second
 
-// resting reports whether the host has no more use for the instances. In a fleet
-// whose hosts come and go, every host would else end up with a connection to
-// every instance, and the holders would find none left.
-func (s *Steward) resting(now time.Time) bool {
-	holds := s.cfg.Holders == nil || slices.ContainsFunc(s.members, func(m fleet.Member) bool {
+// isIdle reports whether the host no longer needs its connections to the
+// instances. In a fleet whose hosts come and go, every host would otherwise end
+// up with a connection to every instance, and the holders would find none free.
+func (s *Monitor) isIdle(now time.Time) bool {
+	isHolder := s.cfg.Holders == nil || slices.ContainsFunc(s.members, func(m fleet.Member) bool {
 		return m.Host == s.cfg.Host
 	})
-	if holds || len(s.waiting) > 0 || s.change.promotion != nil {
-		s.needed = now
+	if isHolder || len(s.waiting) > 0 || s.change.promotion != nil {
+		s.lastNeededAt = now
 	}
-	return now.Sub(s.needed) > restAfter
+	return now.Sub(s.lastNeededAt) > idleTimeout
 }
 
-func (s *Steward) rest(now time.Time) {
+func (s *Monitor) disconnect(now time.Time) {
 	if s.doc == nil {
 		return
 	}
@@ -71,5 +71,5 @@
 	clear(s.links)
 	s.doc = nil
 	s.group.Configure(now, nil)
-	s.note(now, "rest", "this host no longer holds the group")
+	s.recordDecision(now, "rest", "this host no longer holds the group")
 }
--- a/io/groupmonitor/ledger_test.go
+++ b/io/groupmonitor/ledger_test.go
@@ -20,11 +20,11 @@
 	"skylarkdeal/standin/ledger"
 )
 
-// linkTime is one way between the hosts and the instances.
+// linkTime is the delay of a link in one direction.
 const linkTime = time.Millisecond
 
-// fleetOf is a stand-in group with three holders before it, each in a data
-// centre with one of the instances.
+// fleetOf is a stand-in group with three holders, each in the data centre of
+// one of the instances.
 type fleetOf struct {
 	ctx      context.Context
 	stop     context.CancelFunc
@@ -32,13 +32,13 @@
 	group    *ledger.Group
 	doc      document.Document
 	hosts    []fleet.Member
-	stewards map[fleet.Host]*groupmonitor.Steward
+	stewards map[fleet.Host]*groupmonitor.Monitor
 	mu       sync.Mutex
 	away     map[fleet.Host]bool
-	// slow delays the answers of instance a, pause the next step of host h0.
+	// slow delays the statuses of instance a, pause the next step of host h0.
 	slow  atomic.Int64
 	pause atomic.Int64
-	// asked counts the questions of all hosts.
+	// asked counts the status requests of all hosts.
 	asked atomic.Int64
 }
 
@@ -50,7 +50,7 @@
 
 func newFleet(tb testing.TB, lag time.Duration) *fleetOf {
 	tb.Helper()
-	f := &fleetOf{stewards: make(map[fleet.Host]*groupmonitor.Steward), away: make(map[fleet.Host]bool)}
+	f := &fleetOf{stewards: make(map[fleet.Host]*groupmonitor.Monitor), away: make(map[fleet.Host]bool)}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	names := []fleet.Instance{"a", "b", "c"}
 	cfg := ledger.Config{Service: "orders", Lag: lag}
@@ -75,7 +75,8 @@
 	for i, m := range f.hosts {
 		f.prepare(m, uint64(i+1))
 	}
-	// They ask each other from the start on.
+	// The monitors request views from each other from the start, so all are
+	// made before one runs.
 	for _, s := range f.stewards {
 		f.wait.Go(func() { s.Run(f.ctx) })
 	}
@@ -118,7 +119,8 @@
 	return f.stewards[to].HandleView(), nil
 }
 
-// dial returns a client whose calls take as long as the links would.
+// dial returns a client whose status requests take as long as over a link of
+// linkTime each way.
 func (f *fleetOf) dial(h fleet.Host, i document.Instance) control.Client {
 	k := control.Dial(control.Config{
 		Instance: i.Name, Address: i.Address, User: "u", Password: "p", Database: "orders", Host: h,
@@ -142,7 +144,7 @@
 	}
 }
 
-// writer is a caller of one host that writes on whatever happens.
+// writer is a caller of one host that goes on writing through all faults.
 type writer struct {
 	fleet *fleetOf
 	host  fleet.Host
@@ -150,7 +152,7 @@
 	to    fleet.Instance
 	conn  *pgconn.PgConn
 	acked map[fleet.LogPosition]string
-	// lost is how many writes have had an unknown outcome.
+	// unknown is the number of writes with an unknown outcome.
 	unknown int
 }
 
@@ -183,7 +185,7 @@
 	return conn
 }
 
-// write has one value written and acknowledged within limit.
+// write writes one value and waits up to limit for its acknowledgement.
 func (w *writer) write(value string, limit time.Duration) (fleet.LogPosition, bool) {
 	ctx, cancel := context.WithTimeout(w.fleet.ctx, limit)
 	defer cancel()
@@ -212,7 +214,7 @@
 	return at, true
 }
 
-// lost returns how many acknowledged writes the primary doesn't have.
+// lost returns the number of acknowledged writes that the primary doesn't have.
 func (w *writer) lost() int {
 	var n int
 	top := w.fleet.group.Primary()
--- a/io/groupmonitor/link.go
+++ b/io/groupmonitor/link.go
@@ -16,34 +16,35 @@
 	"skylarkdeal/io/control"
 )
 
-// link is the way to one instance: two duties that ask for its status, so that
-// one late answer doesn't hold up the next question, and one that has it take
-// the steps of a change of primary.
+// link is the connection to one instance: two goroutines that poll its status,
+// so that one late response doesn't delay the next request, and one that runs
+// the commands of a promotion or a repair.
 type link struct {
-	name    fleet.Instance
-	address string
-	client  control.Client
-	cancel  context.CancelFunc
-	asks    ring.Ring[struct{}]
-	orders  ring.Ring[group.Command]
-
-	// out is how many questions are under way, asked when the last was sent.
-	out   int
-	asked time.Time
+	name     fleet.Instance
+	address  string
+	client   control.Client
+	cancel   context.CancelFunc
+	polls    ring.Ring[struct{}]
+	commands ring.Ring[group.Command]
+
+	// inFlight is the number of status requests without a response yet,
+	// lastPolledAt when the last one was queued.
+	inFlight     int
+	lastPolledAt time.Time
 }
 
 const (
-	askers    = 2
-	orderRoom = 4
-	// askTimeout ends a question. It outlasts the slowest answer that a primary
-	// may give without being suspected.
-	askTimeout = 2 * time.Second
-	// orderTimeout ends a step of a change of primary.
-	orderTimeout = time.Second
+	pollersPerInstance = 2
+	maxQueuedCommands  = 4
+	// statusTimeout ends a status request. It is longer than the slowest
+	// response that a primary may give without being suspected.
+	statusTimeout = 2 * time.Second
+	// commandTimeout ends a command.
+	commandTimeout = time.Second
 )
 
-// answer is an instance's answer to a question, or the lack of one.
-type answer struct {
+// statusResult is the outcome of a status request.
+type statusResult struct {
 	link   *link
 	sent   time.Time
 	at     time.Time
@@ -51,29 +52,29 @@
 	err    error
 }
 
-// done is an instance's answer to an order.
-type done struct {
-	order  group.Command
-	sent   time.Time
-	at     time.Time
-	status fleet.Status
-	err    error
+// commandResult is the outcome of a command.
+type commandResult struct {
+	command group.Command
+	sent    time.Time
+	at      time.Time
+	status  fleet.Status
+	err     error
 }
 
-func (s *Steward) connect(i document.Instance) *link {
+func (s *Monitor) connect(i document.Instance) *link {
 	ctx, cancel := context.WithCancel(s.ctx)
 	l := &link{
-		name:    i.Name,
-		address: i.Address,
-		client:  s.cfg.Dial(i),
-		cancel:  cancel,
-		asks:    ring.New[struct{}](askers),
-		orders:  ring.New[group.Command](orderRoom),
+		name:     i.Name,
+		address:  i.Address,
+		client:   s.cfg.Dial(i),
+		cancel:   cancel,
+		polls:    ring.New[struct{}](pollersPerInstance),
+		commands: ring.New[group.Command](maxQueuedCommands),
 	}
-	for range askers {
-		s.duties.Go(func() { s.runAsker(ctx, l) })
+	for range pollersPerInstance {
+		s.goroutines.Go(func() { s.runPoller(ctx, l) })
 	}
-	s.duties.Go(func() { s.runOrders(ctx, l) })
+	s.goroutines.Go(func() { s.runCommands(ctx, l) })
 	return l
 }
 
@@ -84,33 +85,33 @@
 	}
 }
 
-func (s *Steward) runAsker(ctx context.Context, l *link) {
-	l.asks.Each(ctx, func(struct{}) {
-		a := s.askOnce(ctx, l)
-		_ = s.events.Put(ctx, event{answer: &a}) // fails only once ctx has ended, as this duty then does
+func (s *Monitor) runPoller(ctx context.Context, l *link) {
+	l.polls.Each(ctx, func(struct{}) {
+		a := s.requestStatus(ctx, l)
+		_ = s.events.Put(ctx, event{answer: &a}) // fails only once ctx has ended, as this goroutine then does
 	})
 }
 
-func (s *Steward) askOnce(ctx context.Context, l *link) answer {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (s *Monitor) requestStatus(ctx context.Context, l *link) statusResult {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	a := answer{link: l, sent: s.cfg.Now()}
+	a := statusResult{link: l, sent: s.cfg.Now()}
 	a.status, a.err = l.client.Status(ctx)
 	a.at = s.cfg.Now()
 	return a
 }
 
-func (s *Steward) runOrders(ctx context.Context, l *link) {
-	l.orders.Each(ctx, func(o group.Command) {
-		d := s.carryOut(ctx, l, o)
+func (s *Monitor) runCommands(ctx context.Context, l *link) {
+	l.commands.Each(ctx, func(o group.Command) {
+		d := s.execute(ctx, l, o)
 		_ = s.events.Put(ctx, event{done: &d}) // as above
 	})
 }
 
-func (s *Steward) carryOut(ctx context.Context, l *link, o group.Command) done {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+func (s *Monitor) execute(ctx context.Context, l *link, o group.Command) commandResult {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	d := done{order: o, sent: s.cfg.Now()}
+	d := commandResult{command: o, sent: s.cfg.Now()}
 	switch o.Act {
 	case group.ActFence:
 		d.status, d.err = l.client.Fence(ctx, o.Term, o.Proposer)
@@ -123,24 +124,25 @@
 	return d
 }
 
-func (s *Steward) takeAnswer(a answer) {
+func (s *Monitor) handleStatus(a statusResult) {
 	if s.links[a.link.name] != a.link {
-		return // the instance has been taken out or has moved
+		return // the instance was removed or has another address
 	}
-	a.link.out--
+	a.link.inFlight--
 	switch {
 	case a.err == nil:
 		s.group.StatusReceived(a.link.name, a.sent, a.at, a.status)
-	case full(a.err):
+	case tooManyConnections(a.err):
 		s.group.TooManyConnections(a.link.name, a.at)
 	default:
 		s.group.StatusFailed(a.link.name, errors.Is(a.err, syscall.ECONNREFUSED))
 	}
 }
 
-// full reports whether an instance refused the connection because it has too
-// many. It is then overloaded, not dead, and a promotion would add to its load.
-func full(err error) bool {
+// tooManyConnections reports whether an instance refused the connection because
+// it has too many. It is then overloaded, not failed, and a promotion would add
+// to its load.
+func tooManyConnections(err error) bool {
 	var p *pgconn.PgError
 	if errors.As(err, &p) {
 		return p.Code == string(failure.CodeTooManySessions)
@@ -149,50 +151,52 @@
 	return errors.As(err, &r) && r.Code == failure.CodeTooManySessions
 }
 
-// The pace of questions that nobody waits for. A status costs some 400 bytes
-// with its headers, and a host of the target size holds about three groups of
-// three instances: the lead asks the primary every quarter of a second and all
-// else is asked once a second, 5 questions a second for each group.
+// Poll intervals while no request waits for a status. A status costs some 400
+// bytes with its headers, and a host of the target size holds about three
+// groups of three instances: a holder among the first maxPrimaryPollers polls
+// the primary every quarter of a second and the others once a second, 5
+// requests a second for each group.
 const (
-	paceBusy  = 50 * time.Millisecond
-	paceLead  = 250 * time.Millisecond
-	paceIdle  = time.Second
-	busyAfter = 2 * time.Second
+	busyPollInterval    = 50 * time.Millisecond
+	primaryPollInterval = 250 * time.Millisecond
+	idlePollInterval    = time.Second
+	busyTimeout         = 2 * time.Second
 )
 
-// leads is how many of the holders watch an idle primary closely: two, since a
-// promotion takes two.
-const leads = 2
+// maxPrimaryPollers is how many of the holders poll an idle primary at
+// primaryPollInterval: two, since a promotion takes two.
+const maxPrimaryPollers = 2
 
-func (s *Steward) ask(now time.Time, t group.Snapshot) {
-	pace, rest := s.pace(now, t)
+func (s *Monitor) pollInstances(now time.Time, t group.Snapshot) {
+	primaryInterval, otherInterval := s.pollIntervals(now, t)
 	for _, i := range t.Observations {
 		l := s.links[i.Instance.Name]
-		every := rest
+		interval := otherInterval
 		if i.Instance.Name == t.Primary || t.Primary == "" {
-			every = pace
+			interval = primaryInterval
 		}
-		if now.Sub(l.asked) < every && !s.demands(now, l, i) {
+		if now.Sub(l.lastPolledAt) < interval && !s.needsStatus(now, l, i) {
 			continue
 		}
-		if l.out >= askers || !l.asks.TryPut(struct{}{}) {
+		if l.inFlight >= pollersPerInstance || !l.polls.TryPut(struct{}{}) {
 			continue
 		}
-		l.out++
-		l.asked = now
-		s.metrics.questions.Inc()
+		l.inFlight++
+		l.lastPolledAt = now
+		s.metrics.statusRequests.Inc()
 		s.group.StatusRequested(l.name, now)
 	}
 }
 
-// pace returns how often to ask the primary and the others.
-func (s *Steward) pace(now time.Time, t group.Snapshot) (time.Duration, time.Duration) {
-	troubled := s.policy.NeedsFastPolling(t, now) || s.change.promotion != nil
-	if troubled || now.UnixNano() < s.alert.Load() || now.Sub(s.busy) < busyAfter {
-		return paceBusy, paceBusy
+// pollIntervals returns the poll interval of the primary and that of the other
+// instances.
+func (s *Monitor) pollIntervals(now time.Time, t group.Snapshot) (time.Duration, time.Duration) {
+	needsFastPolling := s.policy.NeedsFastPolling(t, now) || s.change.promotion != nil
+	if needsFastPolling || now.UnixNano() < s.fastPollUntil.Load() || now.Sub(s.lastWaitingAt) < busyTimeout {
+		return busyPollInterval, busyPollInterval
 	}
-	if s.rank() < leads {
-		return paceLead, paceIdle
+	if s.rank() < maxPrimaryPollers {
+		return primaryPollInterval, idlePollInterval
 	}
-	return paceIdle, paceIdle
+	return idlePollInterval, idlePollInterval
 }
--- a/io/groupmonitor/state.go
+++ b/io/groupmonitor/state.go
@@ -8,25 +8,26 @@
 	"skylarkdeal/internal/metric"
 )
 
-// State is what a state dump shows of a group.
+// State is the part of a state dump that describes one group.
 type State struct {
 	Service fleet.Service  `json:"service"`
 	Table   group.Snapshot `json:"table"`
-	// Waiting is how many requests wait for a proof.
+	// Waiting is the number of requests that wait for a proof.
 	Waiting int `json:"waiting"`
-	// Promotion is the change of primary under way.
+	// Promotion is the promotion under way, nil if there is none.
 	Promotion *group.Promotion `json:"promotion,omitempty"`
-	// Reason says why a promotion is not due although the primary is silent.
+	// Reason is the reason of the latest assessment of the primary, such as why
+	// no promotion is due although the primary is silent.
 	Reason string `json:"reason,omitempty"`
 }
 
-// State returns what a state dump shows of the group.
-func (s *Steward) State() State {
+// State returns the state as of the last step. It doesn't block.
+func (s *Monitor) State() State {
 	return *s.state.Load()
 }
 
-func (s *Steward) snapshot(t group.Snapshot) *State {
-	out := &State{Service: s.cfg.Service, Table: t, Waiting: len(s.waiting), Reason: s.change.why}
+func (s *Monitor) newState(t group.Snapshot) *State {
+	out := &State{Service: s.cfg.Service, Table: t, Waiting: len(s.waiting), Reason: s.change.reason}
 	if p := s.change.promotion; p != nil {
 		c := *p
 		out.Promotion = &c
@@ -35,18 +36,18 @@
 }
 
 type metrics struct {
-	questions  prometheus.Counter
-	confirm    prometheus.Histogram
-	promotions *prometheus.CounterVec
+	statusRequests prometheus.Counter
+	confirmSeconds prometheus.Histogram
+	promotions     *prometheus.CounterVec
 }
 
 func newMetrics(r prometheus.Registerer) metrics {
 	return metrics{
-		questions: metric.Register(r, prometheus.NewCounter(prometheus.CounterOpts{
+		statusRequests: metric.Register(r, prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "skylarkdeal_group_questions_total",
 			Help: "Questions for an instance's status.",
 		})),
-		confirm: metric.Register(r, prometheus.NewHistogram(prometheus.HistogramOpts{
+		confirmSeconds: metric.Register(r, prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "skylarkdeal_group_confirm_seconds",
 			Help:    "Time from a commit to the proof that it may be acknowledged.",
 			Buckets: prometheus.ExponentialBuckets(0.0005, 2, 14),
--- a/io/groupmonitor/wait.go
+++ b/io/groupmonitor/wait.go
@@ -9,49 +9,51 @@
 	"skylarkdeal/core/group"
 )
 
-// waiter is a request that waits for the statuses to prove something.
+// waiter is a request that waits until the statuses of the instances prove what
+// it needs.
 type waiter struct {
 	since    time.Time
 	deadline time.Time
-	// demand is since when the instances have to have been asked: at first
-	// since, then pushed forward while the answers don't suffice.
-	demand time.Time
+	// pollSince is the time after which the instances have to have been polled:
+	// first since, then moved forward while the statuses don't suffice.
+	pollSince time.Time
 
-	// confirm is set for a committed write.
-	confirm func(error)
-	point   fleet.LogPosition
-	rule    document.Acknowledge
+	// confirm is the callback of a committed write, nil for a read.
+	confirm  func(error)
+	position fleet.LogPosition
+	rule     document.Acknowledge
 
-	// fresh is set for a read.
+	// fresh is the callback of a read, nil for a write.
 	fresh func(group.Proof, error)
 }
 
-// Confirm calls done once it is proven that the write which the primary of term
-// committed at point may be acknowledged, or with a *failure.Refusal of an
-// unknown outcome when the proof can't be had by the deadline. One question to
-// each instance serves all the writes that wait. It has to be called after the
-// commit's answer came in. done runs on the Steward's own goroutine and must
-// not block.
-func (s *Steward) Confirm(point fleet.LogPosition, rule document.Acknowledge, deadline time.Time, done func(error)) {
+// Confirm calls done with nil once it is proven that the write which the
+// primary of the term of point committed at point may be acknowledged. If there
+// is no proof by the deadline, or the primary was replaced, done gets a
+// *failure.Refusal of an unknown outcome. One status request to each instance
+// serves all waiting writes. Confirm has to be called after the response to the
+// commit was received. done runs on the goroutine of Run, or on the caller's if
+// the Monitor has stopped or too many requests wait; it must not block.
+func (s *Monitor) Confirm(point fleet.LogPosition, rule document.Acknowledge, deadline time.Time, done func(error)) {
 	now := s.cfg.Now()
 	s.enqueue(&waiter{
-		since: now, demand: now, deadline: deadline, confirm: done, point: point, rule: rule,
+		since: now, pollSince: now, deadline: deadline, confirm: done, position: point, rule: rule,
 	})
 }
 
-// FreshPoint calls done with a proof that was made after the call: a log which
-// covers its point has every write that was acknowledged before the call, and
-// an answer of the primary of its term, to a read that was sent after the call,
-// reflects them too. The error is a *failure.Refusal; nothing was run. done runs
-// on the Steward's own goroutine and must not block.
-func (s *Steward) FreshPoint(deadline time.Time, done func(group.Proof, error)) {
+// FreshPoint calls done with a proof that was made after the call. A log that
+// covers the position of the proof has every write that was acknowledged before
+// the call. So does the response of the primary of its term to a read that was
+// sent after the call. The error is a *failure.Refusal; the read was not run.
+// done runs on the same goroutine as that of Confirm and must not block.
+func (s *Monitor) FreshPoint(deadline time.Time, done func(group.Proof, error)) {
 	now := s.cfg.Now()
-	s.enqueue(&waiter{since: now, demand: now, deadline: deadline, fresh: done})
+	s.enqueue(&waiter{since: now, pollSince: now, deadline: deadline, fresh: done})
 }
 
-func (s *Steward) enqueue(w *waiter) {
+func (s *Monitor) enqueue(w *waiter) {
 	select {
-	case <-s.ended:
+	case <-s.stopped:
 		w.fail("the host no longer holds the group")
 		return
 	default:
@@ -78,42 +80,42 @@
 // retryHint is about the length of a failover.
 const retryHint = time.Second
 
-// quoratePatience is how long a read waits for a majority that doesn't answer. A
-// failover is over by then; in a data centre that is cut off, a caller should
-// hear soon that its read was not run. A write isn't given up: it was sent, and
-// its proof may still come.
-const quoratePatience = 3 * time.Second
+// noQuorumTimeout is how long a read waits for a majority that doesn't answer.
+// A failover takes less time; in a data centre that is cut off, a caller should
+// soon learn that its read was not run. A write waits until its deadline: it
+// was sent, and its proof may still come.
+const noQuorumTimeout = 3 * time.Second
 
-// proofLife is how old the questions that confirm a write with acknowledge =
-// primary may be when it is acknowledged. It is shorter than the least silence
-// before a promotion: a host that was paused in between may have slept through
-// one, and the new primary need not have the write.
-const proofLife = group.DefaultRefusedAfter * 4 / 5
+// maxConfirmAge is how old the status requests that confirm a write with
+// acknowledge = primary may be when it is acknowledged. It is shorter than the
+// minimum silence before a promotion: if this host was paused in between, a
+// promotion may have happened, and the new primary need not have the write.
+const maxConfirmAge = group.DefaultRefusedAfter * 4 / 5
 
-func (s *Steward) settle(now time.Time, t group.Snapshot) {
+func (s *Monitor) completeWaiters(now time.Time, t group.Snapshot) {
 	proof, proven := t.Prove()
-	left := s.waiting[:0]
+	remaining := s.waiting[:0]
 	for _, w := range s.waiting {
-		if !s.settleOne(now, t, w, proof, proven) {
-			left = append(left, w)
+		if !s.completeWaiter(now, t, w, proof, proven) {
+			remaining = append(remaining, w)
 		}
 	}
-	clear(s.waiting[len(left):])
-	s.waiting = left
-	if len(left) > 0 {
-		s.busy = now
+	clear(s.waiting[len(remaining):])
+	s.waiting = remaining
+	if len(remaining) > 0 {
+		s.lastWaitingAt = now
 	}
 }
 
-func (s *Steward) settleOne(now time.Time, t group.Snapshot, w *waiter, proof group.Proof, proven bool) bool {
+func (s *Monitor) completeWaiter(now time.Time, t group.Snapshot, w *waiter, proof group.Proof, proven bool) bool {
 	if w.fresh != nil && proven && !proof.AsOf.Before(w.since) {
 		w.fresh(proof, nil)
 		return true
 	}
-	if w.confirm != nil && s.settleWrite(now, t, w) {
+	if w.confirm != nil && s.completeWrite(now, t, w) {
 		return true
 	}
-	if w.fresh != nil && now.Sub(s.quorate) > quoratePatience {
+	if w.fresh != nil && now.Sub(s.lastQuorumAt) > noQuorumTimeout {
 		w.fail("no majority of the instances answers")
 		return true
 	}
@@ -124,16 +126,15 @@
 	return true
 }
 
-func (s *Steward) settleWrite(now time.Time, t group.Snapshot, w *waiter) bool {
+func (s *Monitor) completeWrite(now time.Time, t group.Snapshot, w *waiter) bool {
 	since := w.since
 	if w.rule == document.AcknowledgePrimary {
-		// The time of the step may be long past, since the host may be paused
-		// anywhere.
-		since = later(since, s.cfg.Now().Add(-proofLife))
+		// now may be long past, since the process can be paused at any point.
+		since = later(since, s.cfg.Now().Add(-maxConfirmAge))
 	}
-	switch t.Acknowledge(w.rule, w.point, since) {
+	switch t.Acknowledge(w.rule, w.position, since) {
 	case group.VerdictAcknowledge:
-		s.metrics.confirm.Observe(now.Sub(w.since).Seconds())
+		s.metrics.confirmSeconds.Observe(now.Sub(w.since).Seconds())
 		w.confirm(nil)
 	case group.VerdictReplaced:
 		w.fail("the primary was replaced")
@@ -150,42 +151,45 @@
 	return a
 }
 
-// The pause before the instances are asked again for a request that their
-// answers didn't satisfy: an eighth of its wait so far, so that a replica that
-// lags by two seconds is asked a few dozen times and adds an eighth at most.
+// The interval after which the instances are polled again for a request that
+// their statuses didn't satisfy: an eighth of its wait so far. A replica that
+// lags by two seconds is thus polled a few dozen times, and polling adds at
+// most an eighth to the wait.
 const (
-	againPart  = 8
-	againLeast = time.Millisecond
-	againMost  = 50 * time.Millisecond
+	retryDivisor     = 8
+	minRetryInterval = time.Millisecond
+	maxRetryInterval = 50 * time.Millisecond
 )
 
-// demands reports whether a waiting request needs the instance to be asked.
-func (s *Steward) demands(now time.Time, l *link, i group.Observation) bool {
+// needsStatus reports whether a waiting request needs a new status of the
+// instance.
+func (s *Monitor) needsStatus(now time.Time, l *link, i group.Observation) bool {
 	for _, w := range s.waiting {
-		if now.Sub(w.demand) > w.pause(now) {
-			w.demand = now
+		if now.Sub(w.pollSince) > w.retryInterval(now) {
+			w.pollSince = now
 		}
-		if l.asked.Before(w.demand) && !w.has(i) {
+		if l.lastPolledAt.Before(w.pollSince) && !w.satisfiedBy(i) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *waiter) pause(now time.Time) time.Duration {
-	return min(max(now.Sub(w.since)/againPart, againLeast), againMost)
+func (w *waiter) retryInterval(now time.Time) time.Duration {
+	return min(max(now.Sub(w.since)/retryDivisor, minRetryInterval), maxRetryInterval)
 }
 
-// has reports whether the instance's status tells all that w needs of it.
-func (w *waiter) has(i group.Observation) bool {
+// satisfiedBy reports whether the instance's status has all that w needs from
+// this instance.
+func (w *waiter) satisfiedBy(i group.Observation) bool {
 	if w.confirm == nil {
 		return !i.Sent.Before(w.since)
 	}
-	ok := group.Unfenced(i, w.point.Term, w.since)
-	return ok && (w.rule == document.AcknowledgePrimary || group.HasEntry(i, w.point))
+	ok := group.Unfenced(i, w.position.Term, w.since)
+	return ok && (w.rule == document.AcknowledgePrimary || group.HasEntry(i, w.position))
 }
 
-func (s *Steward) drainWaiters() {
+func (s *Monitor) drainWaiters() {
 	for {
 		e, ok := s.events.TryTake()
 		if !ok {
--- a/io/holder/group.go
+++ b/io/holder/group.go
@@ -43,7 +43,7 @@
 	service fleet.Service
 	// document is shared.
 	document atomic.Pointer[document.Document]
-	steward  *groupmonitor.Steward
+	steward  *groupmonitor.Monitor
 	// pins are shared.
 	pins pins
 
