--- a/io/groupmonitor/bench_test.go
+++ b/io/groupmonitor/bench_test.go
@@ -63,7 +63,7 @@
 	for i := 0; ; i++ {
 		if !failed && time.Now().After(fail) {
 			failed = true
-			f.strike(kind)
+			f.injectFault(kind)
 		}
 		at, ok := w.write(strconv.Itoa(i), 250*time.Millisecond)
 		if ok && at.Term > 1 {
@@ -78,9 +78,9 @@
 	}
 }
 
-// strike injects a fault into instance a, the primary. A cut leaves it
+// injectFault injects a fault into instance a, the primary. A cut leaves it
 // reachable for host h0 only.
-func (f *fleetOf) strike(kind string) {
+func (f *ledgerFleet) injectFault(kind string) {
 	switch kind {
 	case "crash":
 		f.set("a", ledger.Fault{Kind: ledger.FaultDie})
@@ -91,7 +91,7 @@
 		f.set("b", ledger.Fault{Kind: ledger.FaultCut, From: []string{"a", "h0"}})
 		f.set("c", ledger.Fault{Kind: ledger.FaultCut, From: []string{"a", "h0"}})
 		f.mu.Lock()
-		f.away["h0"] = true
+		f.cutOffHosts["h0"] = true
 		f.mu.Unlock()
 	}
 }
@@ -136,18 +136,18 @@
 // one fault each: one host's link to the primary is cut, the primary's statuses
 // take 400 ms, or the preferred holder is paused for 2 s.
 func BenchmarkCalm(b *testing.B) {
-	faults := map[string]func(f *fleetOf){
-		"bad-link": func(f *fleetOf) {
+	faults := map[string]func(f *ledgerFleet){
+		"bad-link": func(f *ledgerFleet) {
 			f.set("a", ledger.Fault{Kind: ledger.FaultCut, From: []string{"h1"}})
 		},
-		"slow-primary": func(f *fleetOf) { f.slow.Store(int64(400 * time.Millisecond)) },
-		"paused-host":  func(f *fleetOf) { f.pause.Store(int64(2 * time.Second)) },
+		"slow-primary": func(f *ledgerFleet) { f.slow.Store(int64(400 * time.Millisecond)) },
+		"paused-host":  func(f *ledgerFleet) { f.pause.Store(int64(2 * time.Second)) },
 	}
 	for name, strike := range faults {
 		b.Run(name, func(b *testing.B) {
 			var promotions int
 			for range b.N {
-				promotions += int(calmOnce(b, strike))
+				promotions += int(countPromotions(b, strike))
 			}
 			b.ReportMetric(0, "ns/op")
 			b.ReportMetric(float64(promotions), "promotions")
@@ -155,7 +155,7 @@
 	}
 }
 
-func calmOnce(b *testing.B, strike func(f *fleetOf)) fleet.Term {
+func countPromotions(b *testing.B, strike func(f *ledgerFleet)) fleet.Term {
 	b.Helper()
 	f := newFleet(b, time.Millisecond)
 	defer f.close()
@@ -187,24 +187,24 @@
 
 func idleOnce(b *testing.B, groups int) {
 	b.Helper()
-	var fleets []*fleetOf
+	var fleets []*ledgerFleet
 	for range groups {
 		f := newFleet(b, time.Millisecond)
 		defer f.close()
 		fleets = append(fleets, f)
 	}
 	for _, f := range fleets {
-		eventually(b, func() bool { return f.stewards["h0"].Snapshot().Primary != "" })
+		eventually(b, func() bool { return f.monitors["h0"].Snapshot().Primary != "" })
 	}
 	time.Sleep(settleTime)
 	var asked int64
 	for _, f := range fleets {
-		asked -= f.asked.Load()
+		asked -= f.statusRequests.Load()
 	}
 	from, cpu := time.Now(), processorTime(b)
 	time.Sleep(5 * time.Second)
 	for _, f := range fleets {
-		asked += f.asked.Load()
+		asked += f.statusRequests.Load()
 	}
 	took := time.Since(from).Seconds() * float64(len(fleets[0].hosts))
 	b.ReportMetric(0, "ns/op")
--- a/io/groupmonitor/cluster_test.go
+++ b/io/groupmonitor/cluster_test.go
@@ -46,35 +46,35 @@
 	// moved replaces doc once it is set.
 	moved     atomic.Pointer[document.Document]
 	hosts     []fleet.Member
-	stewards  map[fleet.Host]*groupmonitor.Monitor
+	monitors  map[fleet.Host]*groupmonitor.Monitor
 	journals  map[fleet.Host]*journal.Journal
 	link      time.Duration
 	mu        sync.Mutex
 	instances map[fleet.Instance]*grouptest.Instance
 	faults    map[fleet.Instance]fault
-	// cut holds, by host, the instances that it can't reach; away the hosts
-	// that no other host reaches.
-	cut  map[fleet.Host]map[fleet.Instance]bool
-	away map[fleet.Host]bool
-	slow map[fleet.Instance]time.Duration
-	// alone are the instances that no other reaches.
-	alone map[fleet.Instance]bool
-	// questions counts the status requests of each host.
-	questions map[fleet.Host]int
+	// unreachable holds, by host, the instances that it can't reach; cutOffHosts are
+	// the hosts that no other host reaches.
+	unreachable map[fleet.Host]map[fleet.Instance]bool
+	cutOffHosts map[fleet.Host]bool
+	slow        map[fleet.Instance]time.Duration
+	// cutOffInstances are the instances that no other reaches.
+	cutOffInstances map[fleet.Instance]bool
+	// statusRequests counts the status requests of each host.
+	statusRequests map[fleet.Host]int
 	// closed counts the connections that each host has closed.
 	closed map[fleet.Host]int
-	// slept is how far h0's clock is ahead, as after a pause of its process.
-	// looks, once it is set, is called before each reading of that clock.
-	slept atomic.Int64
-	looks atomic.Pointer[func()]
+	// clockAhead is how far h0's clock is ahead, as after a pause of its process.
+	// beforeClockRead, once it is set, is called before each reading of that clock.
+	clockAhead      atomic.Int64
+	beforeClockRead atomic.Pointer[func()]
 }
 
 // now is h0's clock.
 func (c *cluster) now() time.Time {
-	if f := c.looks.Load(); f != nil {
+	if f := c.beforeClockRead.Load(); f != nil {
 		(*f)()
 	}
-	return time.Now().Add(time.Duration(c.slept.Load()))
+	return time.Now().Add(time.Duration(c.clockAhead.Load()))
 }
 
 // newCluster starts a group of three instances in three data centres with a
@@ -82,17 +82,17 @@
 func newCluster(tb testing.TB, lag time.Duration) *cluster {
 	tb.Helper()
 	c := &cluster{
-		link:      time.Millisecond,
-		stewards:  make(map[fleet.Host]*groupmonitor.Monitor),
-		journals:  make(map[fleet.Host]*journal.Journal),
-		instances: make(map[fleet.Instance]*grouptest.Instance),
-		faults:    make(map[fleet.Instance]fault),
-		cut:       make(map[fleet.Host]map[fleet.Instance]bool),
-		away:      make(map[fleet.Host]bool),
-		slow:      make(map[fleet.Instance]time.Duration),
-		alone:     make(map[fleet.Instance]bool),
-		questions: make(map[fleet.Host]int),
-		closed:    make(map[fleet.Host]int),
+		link:            time.Millisecond,
+		monitors:        make(map[fleet.Host]*groupmonitor.Monitor),
+		journals:        make(map[fleet.Host]*journal.Journal),
+		instances:       make(map[fleet.Instance]*grouptest.Instance),
+		faults:          make(map[fleet.Instance]fault),
+		unreachable:     make(map[fleet.Host]map[fleet.Instance]bool),
+		cutOffHosts:     make(map[fleet.Host]bool),
+		slow:            make(map[fleet.Instance]time.Duration),
+		cutOffInstances: make(map[fleet.Instance]bool),
+		statusRequests:  make(map[fleet.Host]int),
+		closed:          make(map[fleet.Host]int),
 	}
 	c.ctx, c.stop = context.WithCancel(context.Background())
 	c.doc.Service = "orders"
@@ -104,7 +104,7 @@
 		})
 		h := fleet.Host(fmt.Sprintf("h%d", n))
 		c.hosts = append(c.hosts, fleet.Member{Host: h, DataCentre: dc})
-		c.cut[h] = make(map[fleet.Instance]bool)
+		c.unreachable[h] = make(map[fleet.Instance]bool)
 	}
 	c.wait.Go(func() { c.replicate(lag) })
 	for n, m := range c.hosts {
@@ -112,7 +112,7 @@
 	}
 	// The monitors request views from each other from the start, so all are
 	// made before one runs.
-	for _, s := range c.stewards {
+	for _, s := range c.monitors {
 		c.wait.Go(func() { s.Run(c.ctx) })
 	}
 	tb.Cleanup(func() {
@@ -137,7 +137,7 @@
 		Journal:  j,
 		Now:      now,
 	})
-	c.stewards[m.Host], c.journals[m.Host] = s, j
+	c.monitors[m.Host], c.journals[m.Host] = s, j
 }
 
 func (c *cluster) document() *document.Document {
@@ -155,7 +155,7 @@
 
 func (c *cluster) view(ctx context.Context, from, to fleet.Member) (*hostpb.ViewResponse, error) {
 	c.mu.Lock()
-	gone := c.away[from.Host] || c.away[to.Host]
+	gone := c.cutOffHosts[from.Host] || c.cutOffHosts[to.Host]
 	c.mu.Unlock()
 	if gone {
 		<-ctx.Done()
@@ -164,7 +164,7 @@
 	if err := sleep(ctx, 2*c.link); err != nil {
 		return nil, err
 	}
-	return c.stewards[to.Host].HandleView(), nil
+	return c.monitors[to.Host].HandleView(), nil
 }
 
 func sleep(ctx context.Context, d time.Duration) error {
@@ -208,7 +208,7 @@
 	if c.faults[n] == full {
 		return fleet.Status{}, &failure.Refusal{Code: failure.CodeTooManySessions}
 	}
-	if c.faults[n] == hung || c.cut[h][n] {
+	if c.faults[n] == hung || c.unreachable[h][n] {
 		return fleet.Status{}, errHung
 	}
 	i := c.instances[n]
@@ -219,7 +219,7 @@
 func (c *cluster) dial(h fleet.Host, n fleet.Instance) control.Client {
 	return control.Client{
 		Status: func(ctx context.Context) (fleet.Status, error) {
-			c.set(func() { c.questions[h]++ })
+			c.set(func() { c.statusRequests[h]++ })
 			return c.call(ctx, h, n, func(*grouptest.Instance) error { return nil })
 		},
 		Fence: func(ctx context.Context, t fleet.Term, p fleet.Host) (fleet.Status, error) {
@@ -257,7 +257,7 @@
 		for _, i := range c.instances {
 			from := c.instances[i.Follows]
 			if from == nil || c.faults[i.Name] != healthy || c.faults[from.Name] != healthy ||
-				c.alone[i.Name] || c.alone[from.Name] {
+				c.cutOffInstances[i.Name] || c.cutOffInstances[from.Name] {
 				continue
 			}
 			if n := marks[0].len[from.Name] - len(i.Log); n > 0 || from.Last().Term > i.Last().Term {
@@ -274,16 +274,16 @@
 	f()
 }
 
-// asked returns the number of status requests of a host.
-func (c *cluster) asked(h fleet.Host) int {
+// statusRequestCount returns the number of status requests of a host.
+func (c *cluster) statusRequestCount(h fleet.Host) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.questions[h]
+	return c.statusRequests[h]
 }
 
-// keeps checks that the primary of the highest term has all acknowledged
+// checkNotLost checks that the primary of the highest term has all acknowledged
 // writes.
-func (c *cluster) keeps(tb testing.TB, acked map[fleet.LogPosition]string) {
+func (c *cluster) checkNotLost(tb testing.TB, acked map[fleet.LogPosition]string) {
 	tb.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -306,7 +306,7 @@
 func (c *cluster) write(
 	h fleet.Host, rule document.Acknowledge, value string, limit time.Duration,
 ) (fleet.LogPosition, error) {
-	s := c.stewards[h]
+	s := c.monitors[h]
 	t := s.Snapshot()
 	p, ok := t.Find(t.Primary)
 	if !ok || p.Silent(time.Now()) > 150*time.Millisecond {
@@ -344,7 +344,7 @@
 func (c *cluster) ready(tb testing.TB) {
 	tb.Helper()
 	eventually(tb, func() bool {
-		for _, s := range c.stewards {
+		for _, s := range c.monitors {
 			if s.Snapshot().Primary == "" {
 				return false
 			}
--- a/io/groupmonitor/groupmonitor_test.go
+++ b/io/groupmonitor/groupmonitor_test.go
@@ -37,9 +37,9 @@
 	return acked
 }
 
-// explained reports whether the journals name the promoted instance and the
+// promotionJournalled reports whether the journals name the promoted instance and the
 // reason.
-func (c *cluster) explained() bool {
+func (c *cluster) promotionJournalled() bool {
 	var who, why bool
 	for _, j := range c.journals {
 		for _, d := range j.All() {
@@ -65,12 +65,12 @@
 			before := c.writeUntil(t, "h1", anyPoint)
 			c.set(func() { c.faults["a"] = f })
 			after := c.writeUntil(t, "h1", laterTerm)
-			c.keeps(t, before)
-			c.keeps(t, after)
-			qt.New(t).Check(c.explained(), qt.IsTrue, qt.Commentf("no host tells who was promoted and why"))
+			c.checkNotLost(t, before)
+			c.checkNotLost(t, after)
+			qt.New(t).Check(c.promotionJournalled(), qt.IsTrue, qt.Commentf("no host tells who was promoted and why"))
 			c.set(func() { c.faults["a"] = healthy })
 			eventually(t, func() bool {
-				a, _ := c.stewards["h2"].Snapshot().Find("a")
+				a, _ := c.monitors["h2"].Snapshot().Find("a")
 				return a.Status.Role == fleet.RoleReplica && a.Status.Last.Term > 1
 			})
 		})
@@ -86,13 +86,13 @@
 	c.ready(t)
 	c.writeUntil(t, "h0", anyPoint)
 	c.set(func() {
-		c.away["h0"] = true
-		c.cut["h1"]["a"], c.cut["h2"]["a"] = true, true
-		c.cut["h0"]["b"], c.cut["h0"]["c"] = true, true
+		c.cutOffHosts["h0"] = true
+		c.unreachable["h1"]["a"], c.unreachable["h2"]["a"] = true, true
+		c.unreachable["h0"]["b"], c.unreachable["h0"]["c"] = true, true
 	})
 	// The links between the instances are cut too: nothing is replicated any
 	// more.
-	c.set(func() { c.alone["a"] = true })
+	c.set(func() { c.cutOffInstances["a"] = true })
 	_, err := c.write("h0", document.AcknowledgeReplicated, "far side", 300*time.Millisecond)
 	var r *failure.Refusal
 	q.Assert(errors.As(err, &r), qt.IsTrue, qt.Commentf("%v", err))
@@ -102,16 +102,16 @@
 	q.Assert(r.Code, qt.Equals, failure.CodeUnknownOutcome)
 	acked := c.writeUntil(t, "h1", laterTerm)
 	c.set(func() {
-		clear(c.away)
-		clear(c.alone)
+		clear(c.cutOffHosts)
+		clear(c.cutOffInstances)
 		for _, m := range c.hosts {
-			clear(c.cut[m.Host])
+			clear(c.unreachable[m.Host])
 		}
 	})
 	eventually(t, func() bool {
-		return c.stewards["h0"].Snapshot().Term > 1
+		return c.monitors["h0"].Snapshot().Term > 1
 	})
-	c.keeps(t, acked)
+	c.checkNotLost(t, acked)
 }
 
 // The primary is cut off from its replicas and from two of the three hosts. The
@@ -122,12 +122,12 @@
 	c.ready(t)
 	acked := c.writeUntil(t, "h0", anyPoint)
 	c.set(func() {
-		c.alone["a"] = true
-		c.cut["h1"]["a"], c.cut["h2"]["a"] = true, true
+		c.cutOffInstances["a"] = true
+		c.unreachable["h1"]["a"], c.unreachable["h2"]["a"] = true, true
 	})
 	c.writeUntil(t, "h1", laterTerm)
 	c.writeUntil(t, "h0", laterTerm)
-	c.keeps(t, acked)
+	c.checkNotLost(t, acked)
 }
 
 // One instance doesn't answer. Writes must not wait for it: the others are a
@@ -146,22 +146,22 @@
 
 // Writes that wait together are served by one round of status requests: a
 // hundred of them cause far fewer than a hundred requests.
-func TestOneRoundServesAllWaiting(t *testing.T) {
+func TestOneStatusRoundServesAllWaitingRequests(t *testing.T) {
 	q := qt.New(t)
 	c := newCluster(t, time.Millisecond)
 	c.ready(t)
-	p := c.stewards["h0"].Snapshot()
+	p := c.monitors["h0"].Snapshot()
 	at := fleet.LogPosition{Term: p.Term, Index: 1}
 	out := make(chan error, 100)
-	before := c.asked("h0")
+	before := c.statusRequestCount("h0")
 	for range 100 {
-		c.stewards["h0"].Confirm(at, document.AcknowledgeReplicated, time.Now().Add(10*time.Second),
+		c.monitors["h0"].Confirm(at, document.AcknowledgeReplicated, time.Now().Add(10*time.Second),
 			func(err error) { out <- err })
 	}
 	for range 100 {
 		q.Assert(<-out, qt.IsNil)
 	}
-	q.Assert(c.asked("h0")-before < 50, qt.IsTrue)
+	q.Assert(c.statusRequestCount("h0")-before < 50, qt.IsTrue)
 }
 
 // A caller without a token reads. The position has to be obtained after the
@@ -188,7 +188,7 @@
 		err   error
 	}
 	out := make(chan result, 1)
-	c.stewards[h].FreshPoint(time.Now().Add(limit), func(p group.Proof, err error) { out <- result{p, err} })
+	c.monitors[h].FreshPoint(time.Now().Add(limit), func(p group.Proof, err error) { out <- result{p, err} })
 	r := <-out
 	return r.proof, r.err
 }
@@ -201,11 +201,11 @@
 	c.ready(t)
 	out := make(chan error, 1)
 	far := fleet.LogPosition{Term: 1, Index: 1000}
-	c.stewards["h0"].Confirm(far, document.AcknowledgeReplicated, time.Now().Add(time.Hour),
+	c.monitors["h0"].Confirm(far, document.AcknowledgeReplicated, time.Now().Add(time.Hour),
 		func(err error) { out <- err })
 	c.stop()
 	q.Assert(<-out, qt.ErrorMatches, "08007: .*")
-	c.stewards["h0"].Confirm(far, document.AcknowledgeReplicated, time.Now().Add(time.Hour),
+	c.monitors["h0"].Confirm(far, document.AcknowledgeReplicated, time.Now().Add(time.Hour),
 		func(err error) { out <- err })
 	q.Assert(<-out, qt.ErrorMatches, "08007: .*")
 }
@@ -219,7 +219,7 @@
 	c.writeUntil(t, "h0", anyPoint)
 	// No write can be proved until the pause has been prepared.
 	c.set(func() { c.faults["b"], c.faults["c"] = hung, hung })
-	h := c.stewards["h0"]
+	h := c.monitors["h0"]
 	var at fleet.LogPosition
 	_, err := c.call(c.ctx, "h0", "a", func(i *grouptest.Instance) error {
 		var err error
@@ -232,14 +232,14 @@
 	since := time.Now()
 	pause := func() {
 		proved := h.Snapshot().Acknowledge(document.AcknowledgePrimary, at, since) == group.VerdictAcknowledge
-		if proved && c.slept.CompareAndSwap(0, int64(time.Second)) {
+		if proved && c.clockAhead.CompareAndSwap(0, int64(time.Second)) {
 			c.set(func() { c.faults["b"], c.faults["c"] = hung, hung })
 		}
 	}
-	c.looks.Store(&pause)
+	c.beforeClockRead.Store(&pause)
 	c.set(func() { c.faults["b"], c.faults["c"] = healthy, healthy })
 	q.Assert(<-out, qt.ErrorMatches, "08007: .*")
-	q.Assert(c.slept.Load(), qt.Equals, int64(time.Second))
+	q.Assert(c.clockAhead.Load(), qt.Equals, int64(time.Second))
 }
 
 // The primary has all its connections in use and refuses another one for a
@@ -249,11 +249,11 @@
 	c := newCluster(t, time.Millisecond)
 	c.ready(t)
 	c.set(func() { c.faults["a"] = full })
-	from := c.asked("h0")
+	from := c.statusRequestCount("h0")
 	// At the longest poll interval this takes longer than any silence that is
 	// tolerated.
-	eventually(t, func() bool { return c.asked("h0")-from > 40 })
-	q.Assert(c.stewards["h0"].Snapshot().Term, qt.Equals, fleet.Term(1))
+	eventually(t, func() bool { return c.statusRequestCount("h0")-from > 40 })
+	q.Assert(c.monitors["h0"].Snapshot().Term, qt.Equals, fleet.Term(1))
 	c.set(func() { c.faults["a"] = healthy })
 	c.writeUntil(t, "h0", func(p fleet.LogPosition) bool { return p.Term == 1 })
 }
@@ -267,7 +267,7 @@
 	c.ready(t)
 	all := c.hosts
 	c.set(func() { c.hosts = all[:2] })
-	eventually(t, func() bool { return len(c.stewards["h2"].Snapshot().Observations) == 0 })
+	eventually(t, func() bool { return len(c.monitors["h2"].Snapshot().Observations) == 0 })
 	c.set(func() { q.Check(c.closed["h2"], qt.Equals, 3) })
 	_, err := c.fresh("h2", 10*time.Second)
 	q.Assert(err, qt.IsNil)
@@ -277,7 +277,7 @@
 
 // An instance moves to another address, where no server answers yet. The status
 // from the old address must not count for the new one.
-func TestMovedInstanceIsAskedAnew(t *testing.T) {
+func TestMovedInstanceLosesItsOldStatus(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	c.ready(t)
 	d := c.doc
@@ -286,12 +286,12 @@
 	c.set(func() { c.faults["b"] = hung })
 	c.moved.Store(&d)
 	eventually(t, func() bool {
-		b, _ := c.stewards["h0"].Snapshot().Find("b")
+		b, _ := c.monitors["h0"].Snapshot().Find("b")
 		return b.Instance.Address == "127.0.0.1:99" && !b.Known()
 	})
 	c.set(func() { c.faults["b"] = healthy })
 	eventually(t, func() bool {
-		b, _ := c.stewards["h0"].Snapshot().Find("b")
+		b, _ := c.monitors["h0"].Snapshot().Find("b")
 		return b.Known()
 	})
 }
--- a/io/groupmonitor/ledger_test.go
+++ b/io/groupmonitor/ledger_test.go
@@ -20,37 +20,37 @@
 	"skylarkdeal/standin/ledger"
 )
 
-// linkTime is the delay of a link in one direction.
-const linkTime = time.Millisecond
+// linkDelay is the delay of a link in one direction.
+const linkDelay = time.Millisecond
 
-// fleetOf is a stand-in group with three holders, each in the data centre of
+// ledgerFleet is a stand-in group with three holders, each in the data centre of
 // one of the instances.
-type fleetOf struct {
-	ctx      context.Context
-	stop     context.CancelFunc
-	wait     sync.WaitGroup
-	group    *ledger.Group
-	doc      document.Document
-	hosts    []fleet.Member
-	stewards map[fleet.Host]*groupmonitor.Monitor
-	mu       sync.Mutex
-	away     map[fleet.Host]bool
+type ledgerFleet struct {
+	ctx         context.Context
+	stop        context.CancelFunc
+	wait        sync.WaitGroup
+	group       *ledger.Group
+	doc         document.Document
+	hosts       []fleet.Member
+	monitors    map[fleet.Host]*groupmonitor.Monitor
+	mu          sync.Mutex
+	cutOffHosts map[fleet.Host]bool
 	// slow delays the statuses of instance a, pause the next step of host h0.
 	slow  atomic.Int64
 	pause atomic.Int64
-	// asked counts the status requests of all hosts.
-	asked atomic.Int64
+	// statusRequests counts the status requests of all hosts.
+	statusRequests atomic.Int64
 }
 
-func (f *fleetOf) set(n fleet.Instance, t ledger.Fault) {
+func (f *ledgerFleet) set(n fleet.Instance, t ledger.Fault) {
 	if err := f.group.Set(n, t); err != nil {
 		panic(err)
 	}
 }
 
-func newFleet(tb testing.TB, lag time.Duration) *fleetOf {
+func newFleet(tb testing.TB, lag time.Duration) *ledgerFleet {
 	tb.Helper()
-	f := &fleetOf{stewards: make(map[fleet.Host]*groupmonitor.Monitor), away: make(map[fleet.Host]bool)}
+	f := &ledgerFleet{monitors: make(map[fleet.Host]*groupmonitor.Monitor), cutOffHosts: make(map[fleet.Host]bool)}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	names := []fleet.Instance{"a", "b", "c"}
 	cfg := ledger.Config{Service: "orders", Lag: lag}
@@ -77,19 +77,19 @@
 	}
 	// The monitors request views from each other from the start, so all are
 	// made before one runs.
-	for _, s := range f.stewards {
+	for _, s := range f.monitors {
 		f.wait.Go(func() { s.Run(f.ctx) })
 	}
 	return f
 }
 
-func (f *fleetOf) close() {
+func (f *ledgerFleet) close() {
 	f.stop()
 	f.wait.Wait()
 	f.group.Close()
 }
 
-func (f *fleetOf) prepare(m fleet.Member, seed uint64) {
+func (f *ledgerFleet) prepare(m fleet.Member, seed uint64) {
 	s := groupmonitor.New(groupmonitor.Config{
 		Service: "orders", Host: m.Host, DataCentre: m.DataCentre, Epoch: seed, Seed: seed,
 		Document: func() *document.Document { return &f.doc },
@@ -99,36 +99,36 @@
 			return f.view(ctx, m.Host, o.Host)
 		},
 	})
-	f.stewards[m.Host] = s
+	f.monitors[m.Host] = s
 	if m.Host == "h0" {
 		s.OnChange(func() { _ = sleep(f.ctx, time.Duration(f.pause.Swap(0))) })
 	}
 }
 
-func (f *fleetOf) view(ctx context.Context, from, to fleet.Host) (*hostpb.ViewResponse, error) {
+func (f *ledgerFleet) view(ctx context.Context, from, to fleet.Host) (*hostpb.ViewResponse, error) {
 	f.mu.Lock()
-	gone := f.away[from] || f.away[to]
+	gone := f.cutOffHosts[from] || f.cutOffHosts[to]
 	f.mu.Unlock()
 	if gone {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if err := sleep(ctx, 2*linkTime); err != nil {
+	if err := sleep(ctx, 2*linkDelay); err != nil {
 		return nil, err
 	}
-	return f.stewards[to].HandleView(), nil
+	return f.monitors[to].HandleView(), nil
 }
 
 // dial returns a client whose status requests take as long as over a link of
-// linkTime each way.
-func (f *fleetOf) dial(h fleet.Host, i document.Instance) control.Client {
+// linkDelay each way.
+func (f *ledgerFleet) dial(h fleet.Host, i document.Instance) control.Client {
 	k := control.Dial(control.Config{
 		Instance: i.Name, Address: i.Address, User: "u", Password: "p", Database: "orders", Host: h,
 	})
 	return control.Client{
 		Status: func(ctx context.Context) (fleet.Status, error) {
-			f.asked.Add(1)
-			late := 2 * linkTime
+			f.statusRequests.Add(1)
+			late := 2 * linkDelay
 			if i.Name == "a" {
 				late += time.Duration(f.slow.Load())
 			}
@@ -146,7 +146,7 @@
 
 // writer is a caller of one host that goes on writing through all faults.
 type writer struct {
-	fleet *fleetOf
+	fleet *ledgerFleet
 	host  fleet.Host
 	rule  document.Acknowledge
 	to    fleet.Instance
@@ -167,7 +167,7 @@
 
 // connect returns the connection to the primary, or nil while there is none.
 func (w *writer) connect(ctx context.Context) *pgconn.PgConn {
-	t := w.fleet.stewards[w.host].Snapshot()
+	t := w.fleet.monitors[w.host].Snapshot()
 	p, ok := t.Find(t.Primary)
 	if !ok || p.Silent(time.Now()) > 150*time.Millisecond {
 		return nil
@@ -194,7 +194,7 @@
 		_ = sleep(ctx, time.Millisecond)
 		return fleet.LogPosition{}, false
 	}
-	_ = sleep(ctx, 2*linkTime)
+	_ = sleep(ctx, 2*linkDelay)
 	if _, err := conn.Exec(ctx, "put k"+value+" "+value).ReadAll(); err != nil {
 		w.close()
 		return fleet.LogPosition{}, false
@@ -205,7 +205,7 @@
 		return fleet.LogPosition{}, false
 	}
 	out := make(chan error, 1)
-	w.fleet.stewards[w.host].Confirm(at, w.rule, time.Now().Add(limit), func(err error) { out <- err })
+	w.fleet.monitors[w.host].Confirm(at, w.rule, time.Now().Add(limit), func(err error) { out <- err })
 	if <-out != nil {
 		w.unknown++
 		return at, false
