--- a/io/groupmonitor/change.go
+++ b/io/groupmonitor/change.go
@@ -185,7 +185,7 @@
 // requestViews asks the other holders for their views while the primary is
 // silent.
 func (s *Monitor) requestViews(now time.Time, t group.Snapshot) {
-	if s.cfg.AskView == nil || !s.policy.NeedsFastPolling(t, now) || now.Sub(s.change.viewsRequestedAt) < viewInterval {
+	if s.cfg.RequestView == nil || !s.policy.NeedsFastPolling(t, now) || now.Sub(s.change.viewsRequestedAt) < viewInterval {
 		return
 	}
 	s.change.viewsRequestedAt = now
@@ -202,7 +202,7 @@
 	ctx, cancel := context.WithTimeout(s.ctx, maxViewAge)
 	defer cancel()
 	at := s.cfg.Now()
-	r, err := s.cfg.AskView(ctx, m)
+	r, err := s.cfg.RequestView(ctx, m)
 	v := viewResult{member: m, err: err}
 	if err == nil {
 		v.view = fromProto(m.Host, at, r)
--- a/io/groupmonitor/cluster_test.go
+++ b/io/groupmonitor/cluster_test.go
@@ -130,12 +130,12 @@
 	}
 	s := groupmonitor.New(groupmonitor.Config{
 		Service: "orders", Host: m.Host, DataCentre: m.DataCentre, Epoch: seed + 1, Seed: seed,
-		Document: c.document,
-		Dial:     func(i document.Instance) control.Client { return c.dial(m.Host, i.Name) },
-		Holders:  c.holders,
-		AskView:  func(ctx context.Context, o fleet.Member) (*hostpb.ViewResponse, error) { return c.view(ctx, m, o) },
-		Journal:  j,
-		Now:      now,
+		Document:    c.document,
+		Dial:        func(i document.Instance) control.Client { return c.dial(m.Host, i.Name) },
+		Holders:     c.holders,
+		RequestView: func(ctx context.Context, o fleet.Member) (*hostpb.ViewResponse, error) { return c.view(ctx, m, o) },
+		Journal:     j,
+		Now:         now,
 	})
 	c.monitors[m.Host], c.journals[m.Host] = s, j
 }
--- a/io/groupmonitor/groupmonitor.go
+++ b/io/groupmonitor/groupmonitor.go
@@ -37,9 +37,9 @@
 	// Holders returns the hosts that hold the group's connections, this one
 	// among them, the preferred one first.
 	Holders func() []fleet.Member
-	// AskView requests another holder's view of the group. If nil, no views are
+	// RequestView requests another holder's view of the group. If nil, no views are
 	// requested.
-	AskView func(ctx context.Context, m fleet.Member) (*hostpb.ViewResponse, error)
+	RequestView func(ctx context.Context, m fleet.Member) (*hostpb.ViewResponse, error)
 	// Policy decides when the primary counts as failed.
 	Policy group.Policy
 	// Now returns the time with its monotonic part; time.Now if nil.
--- a/io/groupmonitor/groupmonitor_test.go
+++ b/io/groupmonitor/groupmonitor_test.go
@@ -188,7 +188,7 @@
 		err   error
 	}
 	out := make(chan result, 1)
-	c.monitors[h].FreshPoint(time.Now().Add(limit), func(p group.Proof, err error) { out <- result{p, err} })
+	c.monitors[h].FreshPosition(time.Now().Add(limit), func(p group.Proof, err error) { out <- result{p, err} })
 	r := <-out
 	return r.proof, r.err
 }
--- a/io/groupmonitor/ledger_test.go
+++ b/io/groupmonitor/ledger_test.go
@@ -95,7 +95,7 @@
 		Document: func() *document.Document { return &f.doc },
 		Dial:     func(i document.Instance) control.Client { return f.dial(m.Host, i) },
 		Holders:  func() []fleet.Member { return f.hosts },
-		AskView: func(ctx context.Context, o fleet.Member) (*hostpb.ViewResponse, error) {
+		RequestView: func(ctx context.Context, o fleet.Member) (*hostpb.ViewResponse, error) {
 			return f.view(ctx, m.Host, o.Host)
 		},
 	})
--- a/io/groupmonitor/state.go
+++ b/io/groupmonitor/state.go
@@ -10,8 +10,8 @@
 
 // State is the part of a state dump that describes one group.
 type State struct {
-	Service fleet.Service  `json:"service"`
-	Table   group.Snapshot `json:"table"`
+	Service  fleet.Service  `json:"service"`
+	Snapshot group.Snapshot `json:"table"`
 	// Waiting is the number of requests that wait for a proof.
 	Waiting int `json:"waiting"`
 	// Promotion is the promotion under way, nil if there is none.
@@ -27,7 +27,7 @@
 }
 
 func (s *Monitor) newState(t group.Snapshot) *State {
-	out := &State{Service: s.cfg.Service, Table: t, Waiting: len(s.waiting), Reason: s.change.reason}
+	out := &State{Service: s.cfg.Service, Snapshot: t, Waiting: len(s.waiting), Reason: s.change.reason}
 	if p := s.change.promotion; p != nil {
 		c := *p
 		out.Promotion = &c
--- a/io/groupmonitor/wait.go
+++ b/io/groupmonitor/wait.go
@@ -41,12 +41,12 @@
 	})
 }
 
-// FreshPoint calls done with a proof that was made after the call. A log that
+// FreshPosition calls done with a proof that was made after the call. A log that
 // covers the position of the proof has every write that was acknowledged before
 // the call. So does the response of the primary of its term to a read that was
 // sent after the call. The error is a *failure.Refusal; the read was not run.
 // done runs on the same goroutine as that of Confirm and must not block.
-func (s *Monitor) FreshPoint(deadline time.Time, done func(group.Proof, error)) {
+func (s *Monitor) FreshPosition(deadline time.Time, done func(group.Proof, error)) {
 	now := s.cfg.Now()
 	s.enqueue(&waiter{since: now, pollSince: now, deadline: deadline, fresh: done})
 }
--- a/io/holder/configure.go
+++ b/io/holder/configure.go
@@ -27,7 +27,7 @@
 			return c.Dial(g.document.Load(), i)
 		},
 		Holders: g.holders,
-		AskView: func(ctx context.Context, m fleet.Member) (*hostpb.ViewResponse, error) {
+		RequestView: func(ctx context.Context, m fleet.Member) (*hostpb.ViewResponse, error) {
 			return c.View(ctx, m.Host, &hostpb.ViewRequest{Service: string(g.service)})
 		},
 		Now:        c.Now,
--- a/io/holder/holder_test.go
+++ b/io/holder/holder_test.go
@@ -227,7 +227,7 @@
 	b := newBench(t)
 	b.c.Assert(b.group.Set("a", ledger.Fault{Kind: ledger.FaultDie}), qt.IsNil)
 	b.eventually("the primary's silence", func() bool {
-		p, ok := b.holder.State()[0].Group.Table.Find("a")
+		p, ok := b.holder.State()[0].Group.Snapshot.Find("a")
 		return ok && p.Silent(time.Now()) > 200*time.Millisecond
 	})
 	r := b.start(b.request("once w1 bin 1"))
