--- a/io/groupmonitor/change.go
+++ b/io/groupmonitor/change.go
@@ -185,7 +185,8 @@
 // requestViews asks the other holders for their views while the primary is
 // silent.
 func (s *Monitor) requestViews(now time.Time, t group.Snapshot) {
-	if s.cfg.RequestView == nil || !s.policy.NeedsFastPolling(t, now) || now.Sub(s.change.viewsRequestedAt) < viewInterval {
+	if s.cfg.RequestView == nil || !s.policy.NeedsFastPolling(t, now) ||
+		now.Sub(s.change.viewsRequestedAt) < viewInterval {
 		return
 	}
 	s.change.viewsRequestedAt = now
