--- a/io/holder/configure.go
+++ b/io/holder/configure.go
@@ -15,7 +15,7 @@
 	"skylarkdeal/io/host/hostpb"
 )
 
-func (g *groupRun) stewardConfig() groupmonitor.Config {
+func (g *groupRun) monitorConfig() groupmonitor.Config {
 	c := g.h.c
 	return groupmonitor.Config{
 		Service:    g.service,
--- a/io/holder/dispatch.go
+++ b/io/holder/dispatch.go
@@ -22,7 +22,7 @@
 			g.drop(w, r.Refusal)
 		}
 	}
-	t := g.steward.Snapshot()
+	t := g.monitor.Snapshot()
 	g.refuseAbsent(t)
 	for {
 		l := g.loads()
@@ -46,7 +46,7 @@
 		return
 	}
 	g.looked = g.now
-	t := g.steward.Snapshot()
+	t := g.monitor.Snapshot()
 	for _, w := range g.works {
 		if w.stop == nil || w.stopped || !g.lost(w, t) {
 			continue
@@ -155,7 +155,7 @@
 		return
 	}
 	w.attempts++
-	w.term = g.steward.Snapshot().Term
+	w.term = g.monitor.Snapshot().Term
 	if w.pin != nil {
 		w.term = w.pin.term
 	}
--- a/io/holder/exchanges.go
+++ b/io/holder/exchanges.go
@@ -49,7 +49,7 @@
 		return
 	}
 	if w.pin == nil && w.read() && w.need.Latest() {
-		g.steward.FreshPosition(w.q.Deadline, func(p group.Proof, err error) {
+		g.monitor.FreshPosition(w.q.Deadline, func(p group.Proof, err error) {
 			g.events.TryPut(event{proved: w, proof: p, err: err})
 		})
 		return
--- a/io/holder/group.go
+++ b/io/holder/group.go
@@ -43,7 +43,7 @@
 	service fleet.Service
 	// document is shared.
 	document atomic.Pointer[document.Document]
-	steward  *groupmonitor.Monitor
+	monitor  *groupmonitor.Monitor
 	// pins are shared.
 	pins pins
 
@@ -102,8 +102,8 @@
 		slots:     map[fleet.Instance]int{},
 	}
 	g.document.Store(d)
-	g.steward = groupmonitor.New(g.stewardConfig())
-	g.steward.OnChange(g.stir)
+	g.monitor = groupmonitor.New(g.monitorConfig())
+	g.monitor.OnChange(g.stir)
 	return g
 }
 
--- a/io/holder/holder.go
+++ b/io/holder/holder.go
@@ -122,7 +122,7 @@
 	h.wait.Add(2)
 	go func() {
 		defer h.wait.Done()
-		g.steward.Run(ctx)
+		g.monitor.Run(ctx)
 	}()
 	go func() {
 		defer h.wait.Done()
@@ -214,7 +214,7 @@
 	if g == nil {
 		return &hostpb.ViewResponse{DataCentre: string(h.c.DataCentre)}
 	}
-	return g.steward.HandleView()
+	return g.monitor.HandleView()
 }
 
 func (h *Holder) note(s fleet.Service, a fleet.Account, choice string, f *failure.Refusal) {
--- a/io/holder/serve.go
+++ b/io/holder/serve.go
@@ -198,7 +198,7 @@
 	}
 	if a.Role == fleet.RoleReplica || w.read() {
 		at := session.Answer{Position: a.Point, Role: a.Role}
-		if w.need.Satisfied(at, g.h.c.Now(), g.steward.Snapshot()) {
+		if w.need.Satisfied(at, g.h.c.Now(), g.monitor.Snapshot()) {
 			return nil
 		}
 	}
@@ -224,7 +224,7 @@
 
 func (g *groupRun) confirm(p fleet.LogPosition, r document.Acknowledge, deadline time.Time) error {
 	c := make(chan error, 1)
-	g.steward.Confirm(p, r, deadline, func(err error) { c <- err })
+	g.monitor.Confirm(p, r, deadline, func(err error) { c <- err })
 	return <-c
 }
 
--- a/io/holder/state.go
+++ b/io/holder/state.go
@@ -65,7 +65,7 @@
 		Service:  g.service,
 		Holds:    g.holds,
 		Holders:  g.holders(),
-		Group:    g.steward.State(),
+		Group:    g.monitor.State(),
 		Queue:    g.queue.State(),
 		UnderWay: len(g.works),
 		Pins:     g.pins.len(),
