--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -47,7 +47,7 @@
 // loadsWithFlood returns the loads of seven accounts at their rate and of an
 // eighth at so many times its rate: 1, without a flood, or 10. With writes of 4
 // ms on two slots, 500 a second can be served.
-func loadsWithFlood(times float64) []load {
+func loadsWithFlood(floodFactor float64) []load {
 	var out []load
 	for i := range 7 {
 		out = append(out, load{
@@ -56,7 +56,7 @@
 		})
 	}
 	return append(out, load{
-		account: "flood", weight: 50, perSecond: 50 * times,
+		account: "flood", weight: 50, perSecond: 50 * floodFactor,
 		slotTime: 4 * time.Millisecond, intent: exchange.IntentWrite,
 	})
 }
--- a/core/document/table.go
+++ b/core/document/table.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// Confirmed returns the time of the last confirmation, zero if there was none.
-func (d *Documents) Confirmed() time.Time {
+// ConfirmedAt returns the time of the last confirmation, zero if there was none.
+func (d *Documents) ConfirmedAt() time.Time {
 	return d.confirmedAt
 }
 
--- a/core/follow/clock.go
+++ b/core/follow/clock.go
@@ -7,8 +7,8 @@
 	// may drift apart over it: a thousandth, which is ten times the usual drift of a computer's
 	// clock.
 	maxDriftDivisor = 1000
-	// maxEchoDistance is how far a time may lie from the echo by which it is translated.
-	maxEchoDistance = 10 * time.Second
+	// maxTranslationInterval is how far a time may lie from the echo by which it is translated.
+	maxTranslationInterval = 10 * time.Second
 )
 
 // ClockMapping translates times of another host's clock into times of this host's clock, such that
@@ -37,7 +37,7 @@
 		return time.Time{}, false
 	}
 	sinceEcho := at.Sub(c.heard)
-	if sinceEcho.Abs() > maxEchoDistance {
+	if sinceEcho.Abs() > maxTranslationInterval {
 		return time.Time{}, false
 	}
 	return c.sent.Add(sinceEcho - sinceEcho.Abs()/maxDriftDivisor), true
--- a/core/journal/journal.go
+++ b/core/journal/journal.go
@@ -13,13 +13,13 @@
 
 // The kinds of decisions.
 const (
-	KindAdmit    Kind = "admit"
-	KindAllot    Kind = "allot"
-	KindDocument Kind = "document"
-	KindFailover Kind = "failover"
-	KindMember   Kind = "member"
-	KindPlace    Kind = "place"
-	KindSession  Kind = "session"
+	KindAdmit     Kind = "admit"
+	KindOwnership Kind = "allot"
+	KindDocument  Kind = "document"
+	KindFailover  Kind = "failover"
+	KindMember    Kind = "member"
+	KindPlace     Kind = "place"
+	KindSession   Kind = "session"
 )
 
 // Decision is one decision of a host.
--- a/core/leader/verify.go
+++ b/core/leader/verify.go
@@ -72,9 +72,9 @@
 
 // Add keeps a pending until each of others has reported its status in response to a request that
 // was sent no earlier than a.ReceivedAt.
-func (p *PendingAnswers) Add(a PendingAnswer, others []fleet.Instance) {
-	a.missing = slices.Clone(others)
-	p.pending = append(p.pending, a)
+func (p *PendingAnswers) Add(answer PendingAnswer, others []fleet.Instance) {
+	answer.missing = slices.Clone(others)
+	p.pending = append(p.pending, answer)
 }
 
 // AddStatus adds the status of instance i, which was asked for at askedAt and gives term as its
--- a/core/mesh/silence.go
+++ b/core/mesh/silence.go
@@ -16,7 +16,7 @@
 
 // NeedsProbe reports whether the hosts of a data centre have to be probed, because nothing has
 // arrived from any of them for silent.
-func NeedsProbe(silent time.Duration) bool { return silent > probeAfter }
+func NeedsProbe(silence time.Duration) bool { return silence > probeAfter }
 
 // DataCentreSilent reports whether a data centre counts as cut off. hosts is how many of its hosts
 // are known, silent for how long neither a report nor a response on a connection has arrived from
@@ -26,6 +26,6 @@
 // relays, at intervals at which the loss of a single host is noticed only after seconds. Until
 // then, statements sent there wait for their timeout, and no host looks for another primary. The
 // silence of a whole data centre can't be due to a slow host.
-func DataCentreSilent(hosts int, silent time.Duration) bool {
-	return hosts >= minHosts && silent > silentAfter
+func DataCentreSilent(hosts int, silence time.Duration) bool {
+	return hosts >= minHosts && silence > silentAfter
 }
--- a/core/pathcost/pathcost.go
+++ b/core/pathcost/pathcost.go
@@ -23,8 +23,8 @@
 	Remote bool
 	// PrimaryRead is set for a read at the primary that a replica could run as well.
 	PrimaryRead bool
-	// Silent is set for an instance that is unreachable now.
-	Silent bool
+	// Unreachable is set for an instance that is unreachable now.
+	Unreachable bool
 	// Cold is set for a read at a recently started instance that another instance could run as well.
 	Cold bool
 }
@@ -43,8 +43,8 @@
 	// coldCost is above the wait at a warm instance, and below silentCost, so that a cold instance is
 	// preferred to an unreachable one.
 	coldCost = 400 * time.Millisecond
-	// silentCost is above any wait that is acceptable at a reachable instance.
-	silentCost = 800 * time.Millisecond
+	// unreachableCost is above any wait that is acceptable at a reachable instance.
+	unreachableCost = 800 * time.Millisecond
 	// targetDivisor sets the fraction of the target, an eighth, that a caller waits for a local replica
 	// rather than use another data centre or the primary. A wait of that length isn't noticed.
 	targetDivisor = 8
@@ -78,6 +78,6 @@
 	addIf(p.Remote, max(remoteCost, target/targetDivisor))
 	addIf(p.PrimaryRead, max(primaryReadCost, target/targetDivisor))
 	addIf(p.Cold, coldCost)
-	addIf(p.Silent, silentCost)
+	addIf(p.Unreachable, unreachableCost)
 	return cost
 }
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -106,7 +106,7 @@
 		}
 		w.Run(w.Now() + 10*time.Second)
 		// The homes' clocks may be fast by the drift, and so may what they grant.
-		if i := reference.Exceeds(w.Admitted, rate*1.04, burst); i >= 0 {
+		if i := reference.FirstExcess(w.Admitted, rate*1.04, burst); i >= 0 {
 			t.Fatalf("admission %d at %v is too many", i, w.Admitted[i].Sub(epoch))
 		}
 	})
@@ -176,7 +176,7 @@
 			t.Fatalf("admission %d at %v is too many", i, since)
 		}
 	}
-	if i := reference.Exceeds(after, next.Rate, next.Burst); i >= 0 {
+	if i := reference.FirstExcess(after, next.Rate, next.Burst); i >= 0 {
 		t.Fatalf("admission %d after the change is too many", i)
 	}
 }
--- a/core/quota/seat.go
+++ b/core/quota/seat.go
@@ -149,16 +149,16 @@
 }
 
 type consent struct {
-	// withdrawnTenure is the highest tenure that gets no further consent.
-	withdrawnTenure uint64
-	expiresAt       time.Time
+	// highestWithdrawn is the highest tenure that gets no further consent.
+	highestWithdrawn uint64
+	expiresAt        time.Time
 }
 
 // Consent answers an owner: whether its tenure may go on for ConsentLifetime.
 // Consent to a tenure that is withdrawn is refused.
 func (w *Witness) Consent(now time.Time, id OwnershipID, tenure uint64) bool {
 	c := w.consents[id]
-	if tenure <= c.withdrawnTenure {
+	if tenure <= c.highestWithdrawn {
 		return false
 	}
 	c.expiresAt = now.Add(consentCountedFor)
@@ -171,7 +171,7 @@
 // for how long the last consent may still stand.
 func (w *Witness) Withdraw(now time.Time, id OwnershipID, tenure uint64) time.Duration {
 	c := w.consents[id]
-	c.withdrawnTenure = max(c.withdrawnTenure, tenure)
+	c.highestWithdrawn = max(c.highestWithdrawn, tenure)
 	w.setConsent(id, c)
 	return max(0, c.expiresAt.Sub(now), w.StartedAt.Add(consentCountedFor).Sub(now))
 }
--- a/core/ratelimit/ratelimit_test.go
+++ b/core/ratelimit/ratelimit_test.go
@@ -32,7 +32,7 @@
 
 // A large account with a full burst sends several times its rate on eight hosts at once. What they
 // admit before they receive each other's reports comes on top of the burst.
-func TestSuddenFloodStaysWithinTheBurst(t *testing.T) {
+func TestSuddenFloodStaysWithinRateAndBurst(t *testing.T) {
 	c := qt.New(t)
 	chain := catalog.Account{Name: "chain", Rate: 175, Burst: 175}
 	for _, hot := range []float64{440, 900, 1400} {
--- a/core/reference/bucket.go
+++ b/core/reference/bucket.go
@@ -43,13 +43,13 @@
 	b.updatedAt = now
 }
 
-// Exceeds returns the index of the first admission that ends a window w with
+// FirstExcess returns the index of the first admission that ends a window w with
 // more than rate·w + burst admissions, or -1. The admissions are in the order
 // of time.
 //
 // A full bucket that is asked at each admission is empty exactly when some
 // window that ends there holds too many, so one pass covers every window.
-func Exceeds(admitted []time.Time, rate, burst float64) int {
+func FirstExcess(admitted []time.Time, rate, burst float64) int {
 	b := Bucket{Rate: rate, Burst: burst}
 	for i, t := range admitted {
 		if !b.Admit(t) {
--- a/core/reference/bucket_test.go
+++ b/core/reference/bucket_test.go
@@ -37,7 +37,7 @@
 				}
 			}
 		}
-		if got := reference.Exceeds(at, rate, burst); got != want {
+		if got := reference.FirstExcess(at, rate, burst); got != want {
 			t.Fatalf("Exceeds = %d, want %d", got, want)
 		}
 	})
--- a/core/relay/place.go
+++ b/core/relay/place.go
@@ -148,7 +148,7 @@
 	leads := g.isPrimary(i.info.Name)
 	est := pathcost.Path{
 		Latency: i.avgLatency, Running: i.busyConns(), Slots: i.info.Slots, Remote: !i.local(),
-		PrimaryRead: !o.needsPrimary && leads, Silent: !g.r.canReach(now, i), Cold: !o.needsPrimary && i.isCold(now),
+		PrimaryRead: !o.needsPrimary && leads, Unreachable: !g.r.canReach(now, i), Cold: !o.needsPrimary && i.isCold(now),
 	}
 	if now.Sub(i.avgLatencyAt) > latencyMaxAge {
 		est.Latency = 0
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -255,13 +255,13 @@
 
 // The defaults and the limits of an adapter's settings.
 const (
-	DefaultGrace      = 6 * time.Second
-	DefaultRateWindow = 5 * time.Second
-	// DefaultPromotionLeast assumes nothing about the platform: the host then delays a
+	DefaultShutdownTimeout = 6 * time.Second
+	DefaultRateWindow      = 5 * time.Second
+	// DefaultMinPromotionTime assumes nothing about the platform: the host then delays a
 	// promotion request until leases that were renewed before it are no longer valid.
-	DefaultPromotionLeast = 0 * time.Second
-	DefaultPromotionDelay = time.Second
-	DefaultMemory         = 256 << 20
+	DefaultMinPromotionTime = 0 * time.Second
+	DefaultPromotionDelay   = time.Second
+	DefaultMemory           = 256 << 20
 
 	DefaultEvacuate      = 5 * time.Second
 	DefaultColdOvershoot = 1.0
@@ -280,9 +280,9 @@
 func parseAdapter(s *inifile.Section) Adapter {
 	defer s.RejectUnknownKeys()
 	a := Adapter{Kind: AdapterKind(s.OneOf("kind", string(AdapterNone), string(AdapterNone), string(AdapterPlatform)))}
-	a.ShutdownTimeout = s.Duration("grace", DefaultGrace, time.Second, time.Hour)
+	a.ShutdownTimeout = s.Duration("grace", DefaultShutdownTimeout, time.Second, time.Hour)
 	a.RateWindow = s.Duration("rate-window", DefaultRateWindow, time.Second, time.Hour)
-	a.MinPromotionTime = s.Duration("promotion-least", DefaultPromotionLeast, 0, time.Minute)
+	a.MinPromotionTime = s.Duration("promotion-least", DefaultMinPromotionTime, 0, time.Minute)
 	a.UsualPromotionTime = s.Duration("promotion-delay", DefaultPromotionDelay, a.MinPromotionTime, time.Minute)
 	a.Memory = s.Size("memory", DefaultMemory, minMemory, maxMemory)
 	a.Capacity = fleet.Capacity(s.Float("capacity", 0, 0, maxCapacity))
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -187,11 +187,11 @@
 // it isn't later here than it was there, however long the news took.
 func (h *Host) told(from fleet.Host, n forward.StoreUpdate) {
 	f := &h.following
-	if f.role != follow.RoleFollower || !f.session.Accepts(from, n.EchoSent) {
+	if f.role != follow.RoleFollower || !f.session.Accepts(from, n.RequestSentAt) {
 		return
 	}
 	f.heard = clock.Now()
-	f.session.Clock.Observe(n.EchoSent, n.EchoHeard)
+	f.session.Clock.Observe(n.RequestSentAt, n.RequestReceivedAt)
 	f.centres = fleet.NewSet(n.Centres...)
 	for p, c := range n.Parts {
 		read, ok := f.session.Clock.NotBefore(c.ReadAt)
@@ -276,7 +276,7 @@
 
 func (h *Host) tell(f *follower) {
 	n := forward.StoreUpdate{
-		EchoSent: f.asked, EchoHeard: f.heard, Renewed: h.following.own, Parts: h.following.copies.UpdatesFor(f.has),
+		RequestSentAt: f.asked, RequestReceivedAt: f.heard, Renewed: h.following.own, Parts: h.following.copies.UpdatesFor(f.has),
 	}
 	if f.has[follow.PartHosts] == 0 {
 		// The others come by the hosts' own reports.
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -56,7 +56,7 @@
 		Host: h.settings.Host.Name, Leaving: h.relay.Draining(), Epoch: h.peers.epoch, Seq: h.peers.seq,
 		IsReader: h.reads(), StoreUnreachable: h.reads() && !h.registry.StoreReachable(),
 		Capacity: h.settings.Adapter.Capacity,
-		Usages:   h.rates.Usage(now, whole), Catalog: h.peers.catalog, Record: h.relay.RecordRevision(),
+		Usages:   h.rates.Usage(now, whole), CatalogRevision: h.peers.catalog, RecordRevision: h.relay.RecordRevision(),
 		CatalogAge: now.Sub(h.registry.CatalogReadAt()), Reachable: reached,
 		Instances: digest, InstancesAge: now.Sub(at),
 	}
@@ -148,7 +148,7 @@
 		is = append(is, d.Instance)
 	}
 	h.relay.AddReachability(r.Host, is, r.Reachable)
-	if r.Record > h.relay.RecordRevision() {
+	if r.RecordRevision > h.relay.RecordRevision() {
 		h.registry.RefreshRecords()
 	}
 	h.compareCatalog(r)
@@ -165,9 +165,9 @@
 	if at := now.Add(-r.InstancesAge); r.InstancesAge < catalogFresh && h.registry.InstancesConfirmed(r.Instances, at) {
 		h.relay.InstancesConfirmed(at)
 	}
-	if r.Catalog <= uint64(h.registry.CatalogRevision()) {
+	if r.CatalogRevision <= uint64(h.registry.CatalogRevision()) {
 		h.peers.behind = time.Time{}
-		if r.Catalog != 0 && r.CatalogAge < catalogFresh {
+		if r.CatalogRevision != 0 && r.CatalogAge < catalogFresh {
 			h.registry.CatalogConfirmed(now.Add(-r.CatalogAge))
 		}
 		return
--- a/internal/experiment/rates/measure.go
+++ b/internal/experiment/rates/measure.go
@@ -102,7 +102,7 @@
 	w.After(0, next)
 	w.Run(warm + measured + 5*time.Second)
 	o.Calls = float64(w.calls-calls) / measured.Seconds()
-	if reference.Exceeds(w.Admitted, measuredRate, measuredBurst) >= 0 {
+	if reference.FirstExcess(w.Admitted, measuredRate, measuredBurst) >= 0 {
 		o.Over++
 	}
 	return o
--- a/io/docsync/digest.go
+++ b/io/docsync/digest.go
@@ -201,7 +201,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a.Sum = s.sum
-	if c := s.table.Confirmed(); !c.IsZero() {
+	if c := s.table.ConfirmedAt(); !c.IsZero() {
 		age := uint64(max(0, s.cfg.Now().Sub(c).Microseconds()))
 		a.ConfirmedAgeUs = &age
 	}
--- a/io/docsync/docsync.go
+++ b/io/docsync/docsync.go
@@ -239,7 +239,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Confirm(at)
-	at = s.table.Confirmed()
+	at = s.table.ConfirmedAt()
 	s.confirmed.Store(&at)
 }
 
--- a/io/docsync/state.go
+++ b/io/docsync/state.go
@@ -51,13 +51,13 @@
 	now := s.cfg.Now()
 	a := State{
 		Documents: []DocumentState{}, Invalid: []InvalidState{},
-		Confirmed: s.table.Confirmed(), Ready: s.ready.Load(), Watching: s.watching.Load(),
+		Confirmed: s.table.ConfirmedAt(), Ready: s.ready.Load(), Watching: s.watching.Load(),
 		StoreProblem: s.problem, PushesQueued: s.pushes.Len(),
 	}
 	for _, h := range s.table.All() {
 		a.Documents = append(a.Documents, DocumentState{
 			Service: h.Document.Service, Version: h.Document.Version, Since: h.Since, From: h.From,
-			Stopped: h.Document.Stopped(s.table.Confirmed(), now),
+			Stopped: h.Document.Stopped(s.table.ConfirmedAt(), now),
 		})
 	}
 	for _, r := range s.table.Rejected() {
--- a/io/forward/news.go
+++ b/io/forward/store_update.go
@@ -15,9 +15,9 @@
 // StoreUpdate is what a reader passes on to a follower. All times but EchoSent are of the reader's
 // clock.
 type StoreUpdate struct {
-	// EchoSent is when the follower sent its last request, by the follower's clock. EchoHeard is
+	// RequestSentAt is when the follower sent its last request, by the follower's clock. RequestReceivedAt is
 	// when the reader received it.
-	EchoSent, EchoHeard time.Time
+	RequestSentAt, RequestReceivedAt time.Time
 	// Renewed is when the reader sent its last successful renewal, zero if its registration has
 	// ended since.
 	Renewed time.Time
@@ -43,7 +43,7 @@
 // AppendStoreUpdate appends an update of the store.
 func AppendStoreUpdate(b []byte, n StoreUpdate) []byte {
 	m := &forwardpb.News{
-		EchoSent: toUnixNano(n.EchoSent), EchoHeard: toUnixNano(n.EchoHeard), Renewed: toUnixNano(n.Renewed),
+		EchoSent: toUnixNano(n.RequestSentAt), EchoHeard: toUnixNano(n.RequestReceivedAt), Renewed: toUnixNano(n.Renewed),
 	}
 	for name, c := range n.Parts {
 		p := &forwardpb.Part{Name: string(name), Version: uint64(c.Version), Read: toUnixNano(c.ReadAt), Whole: c.HasBody}
@@ -60,7 +60,7 @@
 
 func decodeStoreUpdate(m *forwardpb.News) StoreUpdate {
 	n := StoreUpdate{
-		EchoSent: fromUnixNano(m.GetEchoSent()), EchoHeard: fromUnixNano(m.GetEchoHeard()),
+		RequestSentAt: fromUnixNano(m.GetEchoSent()), RequestReceivedAt: fromUnixNano(m.GetEchoHeard()),
 		Renewed: fromUnixNano(m.GetRenewed()), Parts: Parts{},
 	}
 	for _, p := range m.GetParts() {
--- a/io/forward/news_test.go
+++ b/io/forward/store_update_test.go
@@ -16,7 +16,7 @@
 	c := qt.New(t)
 	at := time.Unix(0, 86707276482797)
 	want := forward.StoreUpdate{
-		EchoSent: at, EchoHeard: at.Add(time.Hour), Renewed: at.Add(time.Second),
+		RequestSentAt: at, RequestReceivedAt: at.Add(time.Hour), Renewed: at.Add(time.Second),
 		Parts: forward.Parts{
 			follow.PartCatalog: {Version: 7, ReadAt: at, HasBody: true, Body: []registry.Entry{
 				{Key: "catalog", Value: []byte{0xff, 0}, Revision: 7},
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -42,9 +42,9 @@
 	Unreachable                []UnreachableInstance
 	// Reachable are the instances that this host can reach although another host can't.
 	Reachable []fleet.Instance
-	// Catalog is the revision of the catalog's newest change that the host knows, Record that of
+	// CatalogRevision is the revision of the catalog's newest change that the host knows, RecordRevision that of
 	// the newest record of a promotion request.
-	Catalog, Record uint64
+	CatalogRevision, RecordRevision uint64
 	// CatalogAge is the time since the host itself found Catalog to be the newest.
 	CatalogAge time.Duration
 	// Instances is the digest of the list of instances in use, InstancesAge the time since the host
@@ -59,7 +59,7 @@
 	Address string
 	// Received is called with the reports of each datagram: one report from its sender, or several
 	// that a gossip relay has passed on. It is called on the receiving goroutine.
-	Received func(rs []Report, passed bool)
+	Received func(rs []Report, forwarded bool)
 	Logger   *zap.Logger
 }
 
@@ -112,12 +112,12 @@
 			// A host that can't be reached sometimes shows as an error of the socket.
 			continue
 		}
-		rs, passed, err := decode(b[:n])
+		rs, forwarded, err := decode(b[:n])
 		if err != nil {
 			g.cfg.Logger.Warn("datagram dropped", zap.Error(err))
 			continue
 		}
-		g.cfg.Received(rs, passed)
+		g.cfg.Received(rs, forwarded)
 	}
 }
 
@@ -153,7 +153,7 @@
 	m := &gossippb.Report{
 		Host: string(r.Host), Epoch: r.Epoch, Seq: r.Seq, Leaving: r.Leaving,
 		Reads: r.IsReader, Storeless: r.StoreUnreachable, Capacity: float64(r.Capacity),
-		Catalog: r.Catalog, Record: r.Record, Address: r.Address,
+		Catalog: r.CatalogRevision, Record: r.RecordRevision, Address: r.Address,
 		DataCentre:   string(r.DataCentre),
 		CatalogAgeMs: toMillis(r.CatalogAge), Instances: r.Instances, InstancesAgeMs: toMillis(r.InstancesAge),
 	}
@@ -182,7 +182,7 @@
 	errNoHost    = errors.New("a report without a host")
 )
 
-func decode(b []byte) (rs []Report, passed bool, err error) {
+func decode(b []byte) (rs []Report, forwarded bool, err error) {
 	var m gossippb.Datagram
 	if err := proto.Unmarshal(b, &m); err != nil {
 		return nil, false, err
@@ -203,7 +203,7 @@
 	r := Report{
 		Host: fleet.Host(m.GetHost()), Epoch: m.GetEpoch(), Seq: m.GetSeq(), Leaving: m.GetLeaving(),
 		IsReader: m.GetReads(), StoreUnreachable: m.GetStoreless(), Capacity: fleet.Capacity(m.GetCapacity()),
-		Catalog: m.GetCatalog(), Record: m.GetRecord(), Address: m.GetAddress(),
+		CatalogRevision: m.GetCatalog(), RecordRevision: m.GetRecord(), Address: m.GetAddress(),
 		DataCentre: fleet.DataCentre(m.GetDataCentre()),
 		CatalogAge: time.Duration(m.GetCatalogAgeMs()) * time.Millisecond,
 		Instances:  m.GetInstances(), InstancesAge: time.Duration(m.GetInstancesAgeMs()) * time.Millisecond,
--- a/io/gossip/gossip_test.go
+++ b/io/gossip/gossip_test.go
@@ -14,7 +14,7 @@
 	"skylarkdeal/io/gossip"
 )
 
-func start(c *qt.C, heard func(rs []gossip.Report, passed bool)) (*gossip.Gossip, string) {
+func start(c *qt.C, heard func(rs []gossip.Report, forwarded bool)) (*gossip.Gossip, string) {
 	l, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	at := l.LocalAddr().String()
@@ -35,7 +35,7 @@
 		Epoch: 3, Seq: 9, Leaving: true, IsReader: true, StoreUnreachable: true,
 		Usages:      []ratelimit.Usage{{Account: "hotel", Admitted: 4, Demand: 2.5}},
 		Unreachable: []gossip.UnreachableInstance{{Instance: "i-1", Silent: 400 * time.Millisecond}},
-		Reachable:   []fleet.Instance{"i-2"}, Catalog: 7, Record: 8, CatalogAge: time.Second,
+		Reachable:   []fleet.Instance{"i-2"}, CatalogRevision: 7, RecordRevision: 8, CatalogAge: time.Second,
 		Instances: 1 << 63, InstancesAge: 2 * time.Second,
 	}
 	address, err := net.ResolveUDPAddr("udp4", to)
@@ -62,11 +62,11 @@
 func TestReportsAreForwarded(t *testing.T) {
 	c := qt.New(t)
 	type datagram struct {
-		hosts  int
-		passed bool
+		hosts     int
+		forwarded bool
 	}
 	got := make(chan datagram, 8)
-	_, to := start(c, func(rs []gossip.Report, passed bool) { got <- datagram{len(rs), passed} })
+	_, to := start(c, func(rs []gossip.Report, forwarded bool) { got <- datagram{len(rs), forwarded} })
 	from, _ := start(c, func([]gossip.Report, bool) {})
 	address, err := net.ResolveUDPAddr("udp4", to)
 	c.Assert(err, qt.IsNil)
@@ -79,7 +79,7 @@
 	for total < len(rs) {
 		select {
 		case d := <-got:
-			c.Assert(d.passed, qt.IsTrue)
+			c.Assert(d.forwarded, qt.IsTrue)
 			total += d.hosts
 		case <-time.After(5 * time.Second):
 			c.Fatalf("%d of %d reports were heard", total, len(rs))
--- a/io/grants/claims.go
+++ b/io/grants/claims.go
@@ -250,7 +250,7 @@
 func (r *Runtime) note(h roster.Shard, choice, reason string) {
 	n := string(seatName(r.cfg.DataCentre, h))
 	r.cfg.Journal.Add(journal.Decision{
-		At: r.cfg.Now(), Kind: journal.KindAllot, Subject: "seat=" + n, Choice: choice, Reason: reason,
+		At: r.cfg.Now(), Kind: journal.KindOwnership, Subject: "seat=" + n, Choice: choice, Reason: reason,
 	})
 	r.cfg.Logger.Info("seat", zap.String("seat", n), zap.String("choice", choice), zap.String("reason", reason))
 }
--- a/io/registry/registry_test.go
+++ b/io/registry/registry_test.go
@@ -52,21 +52,21 @@
 
 // startWithRank starts a registry for which rank other hosts read first.
 func startWithRank(c *qt.C, s *memStore, rank int) (*registry.Registry, *callbackLog) {
-	return startWithLeast(c, s, rank, time.Second)
+	return startWithMinPromotionTime(c, s, rank, time.Second)
 }
 
-// startWithLeast starts a registry for a platform that takes at least the given time for a
+// startWithMinPromotionTime starts a registry for a platform that takes at least the given time for a
 // promotion.
-func startWithLeast(c *qt.C, s *memStore, rank int, least time.Duration) (*registry.Registry, *callbackLog) {
-	return startWithDelay(c, s, rank, least, 0)
+func startWithMinPromotionTime(c *qt.C, s *memStore, rank int, minPromotionTime time.Duration) (*registry.Registry, *callbackLog) {
+	return startWithDelay(c, s, rank, minPromotionTime, 0)
 }
 
 // startWithDelay starts a registry that doesn't become the failover coordinator for a while.
 func startWithDelay(
-	c *qt.C, s *memStore, rank int, least, coordinatorDelay time.Duration,
+	c *qt.C, s *memStore, rank int, minPromotionTime, coordinatorDelay time.Duration,
 ) (*registry.Registry, *callbackLog) {
 	got := &callbackLog{}
-	return start(c, config(s, got, rank, least, coordinatorDelay)), got
+	return start(c, config(s, got, rank, minPromotionTime, coordinatorDelay)), got
 }
 
 // start runs a registry until the test ends.
@@ -96,7 +96,7 @@
 }
 
 // config returns the configuration of a registry that reports to got.
-func config(s *memStore, got *callbackLog, rank int, least, coordinatorDelay time.Duration) registry.Config {
+func config(s *memStore, got *callbackLog, rank int, minPromotionTime, coordinatorDelay time.Duration) registry.Config {
 	return registry.Config{
 		Store: s.store(), Self: registry.Host{Name: "h-x", DataCentre: "obihiro", Address: "127.0.0.1:1"},
 		Prefix: "our/", CatalogPrefix: "catalog", CatalogKey: "catalog", InstancePrefix: "instances/",
@@ -127,7 +127,7 @@
 			}
 			return nil
 		},
-		CoordinatorDelay: coordinatorDelay, MinPromotionTime: least, UsualPromotionTime: time.Second,
+		CoordinatorDelay: coordinatorDelay, MinPromotionTime: minPromotionTime, UsualPromotionTime: time.Second,
 	}
 }
 
@@ -314,8 +314,8 @@
 func TestPromotionWaitsWhereThePlatformIsQuick(t *testing.T) {
 	c := qt.New(t)
 	s := newMemStore()
-	const least = 500 * time.Millisecond
-	r, got := startWithLeast(c, s, 0, least)
+	const minPromotionTime = 500 * time.Millisecond
+	r, got := startWithMinPromotionTime(c, s, 0, minPromotionTime)
 	until(c, got, "the coordinator role", func() bool { return len(got.coordinator) == 1 })
 	r.RequestPromotion(leader.PromotionRequest{Service: "orders", Primary: "b", Former: "a", Term: 2,
 		Reason: leader.ReasonUnreachable})
@@ -323,7 +323,9 @@
 	until(c, got, "the promotion", func() bool { return len(got.promotions) == 1 })
 	// Registrations end after the record is written, so that the last renewal was before the
 	// record.
-	got.locked(func() { c.Assert(got.promotedAt.Sub(got.recordedAt)+least >= leader.LeaseValidity, qt.IsTrue) })
+	got.locked(func() {
+		c.Assert(got.promotedAt.Sub(got.recordedAt)+minPromotionTime >= leader.LeaseValidity, qt.IsTrue)
+	})
 }
 
 // The response to the write of a record is lost after it was carried out. Giving up would leave the
