--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -45,8 +45,8 @@
 const second = time.Second
 
 // loadsWithFlood returns the loads of seven accounts at their rate and of an
-// eighth at so many times its rate: 1, without a flood, or 10. With writes of 4
-// ms on two slots, 500 a second can be served.
+// eighth at floodFactor times its rate: 1, without a flood, or 10. With writes of
+// 4 ms on two slots, 500 a second can be served.
 func loadsWithFlood(floodFactor float64) []load {
 	var out []load
 	for i := range 7 {
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -43,7 +43,7 @@
 	MaxAge time.Duration
 	// Timeout limits the time of one statement.
 	Timeout time.Duration
-	// Target is the time within which an answer has its full value for the caller.
+	// Target is the response time that the caller wants.
 	Target time.Duration
 	// Priority orders routes by urgency; 0 is the most urgent.
 	Priority int
@@ -146,7 +146,8 @@
 	Leaving bool
 	// Role is the role that the instance reports about itself.
 	Role fleet.Role
-	// Started distinguishes an instance from the same instance after a restart.
+	// Started is the Unix time in milliseconds at which the instance started, as it registers it. It
+	// distinguishes an instance from the same instance after a restart.
 	Started int64
 	// Cold is how much longer the instance is slow after its start, zero once it is warm.
 	Cold time.Duration
--- a/core/cold/cold.go
+++ b/core/cold/cold.go
@@ -53,8 +53,8 @@
 	sent []time.Time
 }
 
-// Left returns how many of limit statements may still be sent at now: all of them, and those for
-// new operations. The difference is reserved for transactions in progress.
+// Left returns how many statements may still be sent at now, out of limit: all in total, and forNew
+// of them for new operations. The difference is reserved for transactions in progress.
 func (b *SendBudget) Left(now time.Time, limit int) (all, forNew int) {
 	b.sent = slices.DeleteFunc(b.sent, func(at time.Time) bool { return now.Sub(at) >= window })
 	all = max(0, limit-len(b.sent))
--- a/core/document/parse.go
+++ b/core/document/parse.go
@@ -32,8 +32,9 @@
 	maxInstances      = 64
 	maxAccounts       = 4096
 	maxKeysPerAccount = 16
-	// minCutOffAfter is longer than a confirmation takes from a host that watches
-	// the store, through several peers, to the last host.
+	// minCutOffAfter is the smallest CutOffAfter. It is longer than the confirmation
+	// that a document is still the newest version takes from a host that watches the
+	// store, through several peers, to the last host.
 	minCutOffAfter = 30 * time.Second
 	maxCutOffAfter = 30 * 24 * time.Hour
 )
--- a/core/document/table.go
+++ b/core/document/table.go
@@ -150,7 +150,8 @@
 	}
 }
 
-// ConfirmedAt returns the time of the last confirmation, zero if there was none.
+// ConfirmedAt returns when all documents were last known to be the newest versions, zero
+// if never.
 func (d *Documents) ConfirmedAt() time.Time {
 	return d.confirmedAt
 }
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -39,8 +39,13 @@
 type LogIndex uint64
 
 // LogPosition is a position in the log of a group. Positions are ordered by term, then
-// by index: a promotion appends an entry in its own term, so a log that has an entry
-// of a later term holds every acknowledged entry of the earlier terms.
+// by index: a log that has an entry of a later term holds every acknowledged entry of
+// the earlier terms.
+//
+// In the PostgreSQL groups of core/group, a promotion appends an entry in its own term.
+// In the groups on the prepared machines (core/leader, core/relay, core/staleness) it
+// writes none, and until its first commit the new primary reports a position of the
+// former term.
 type LogPosition struct {
 	Term  Term     `json:"term"`
 	Index LogIndex `json:"position"`
--- a/core/follow/clock.go
+++ b/core/follow/clock.go
@@ -7,7 +7,8 @@
 	// may drift apart over it: a thousandth, which is ten times the usual drift of a computer's
 	// clock.
 	maxDriftDivisor = 1000
-	// maxTranslationInterval is how far a time may lie from the echo by which it is translated.
+	// maxTranslationInterval is the longest interval between a time to be translated and the echo
+	// (see Observe) on which the translation is based.
 	maxTranslationInterval = 10 * time.Second
 )
 
--- a/core/follow/follow_test.go
+++ b/core/follow/follow_test.go
@@ -110,8 +110,9 @@
 	})
 }
 
-// Guards against a follower that relies on a renewal although it lacks a record: it had left the
-// reader for another one, and ignored what the reader passed on in the meantime.
+// A follower leaves a reader for another one, ignores the promotion record that the first reader
+// forwards meanwhile, and returns. It must not trust that reader's lease renewal until it has
+// requested all parts again.
 func TestReturningFollowerRequestsAllParts(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
--- a/core/follow/role.go
+++ b/core/follow/role.go
@@ -32,7 +32,7 @@
 	// can reach.
 	maxFailingReaders = 6
 	// discoveryTime is how long a host waits for reports of other hosts before it may count itself
-	// among the strongest.
+	// among the hosts with the highest capacity.
 	discoveryTime = 2 * time.Second
 	// minReaderTime is how long a host stays a reader at least, so that two hosts whose reports
 	// reach each other late don't take turns.
--- a/core/group/assess_test.go
+++ b/core/group/assess_test.go
@@ -167,8 +167,8 @@
 	c.Assert(p.group.Snapshot(p.now).Primary, qt.Equals, fleet.Instance("a"))
 }
 
-// The document marks the primary as leaving. Transactions in progress should end, and no
-// other caller should wait for long.
+// The service's configuration marks the primary as leaving. Transactions in progress should
+// end, and no other caller should wait for long.
 func TestLeavingPrimaryHandsOverOnceQuiet(t *testing.T) {
 	c := qt.New(t)
 	p := newPoller()
--- a/core/journal/journal.go
+++ b/core/journal/journal.go
@@ -8,24 +8,31 @@
 	"skylarkdeal/core/ring"
 )
 
-// Kind is the subject area of a decision.
+// Kind is the category of a decision.
 type Kind string
 
 // The kinds of decisions.
 const (
-	KindAdmit     Kind = "admit"
+	// KindAdmit is about whether an operation is admitted or refused.
+	KindAdmit Kind = "admit"
+	// KindOwnership is about which host owns a shard of the client accounts.
 	KindOwnership Kind = "allot"
-	KindDocument  Kind = "document"
-	KindFailover  Kind = "failover"
-	KindMember    Kind = "member"
-	KindPlace     Kind = "place"
-	KindSession   Kind = "session"
+	// KindDocument is about which version of a document is in effect.
+	KindDocument Kind = "document"
+	// KindFailover is about the primary of a group.
+	KindFailover Kind = "failover"
+	// KindMember is about which hosts belong to the fleet.
+	KindMember Kind = "member"
+	// KindPlace is about which instance runs an operation.
+	KindPlace Kind = "place"
+	// KindSession is about the end or the rejection of a caller's session.
+	KindSession Kind = "session"
 )
 
 // Decision is one decision of a host.
 type Decision struct {
 	At time.Time `json:"at"`
-	// Kind is the subject area of the decision.
+	// Kind is the category of the decision.
 	Kind Kind `json:"kind"`
 	// Subject is what the decision is about, such as "service=orders account=hotel".
 	Subject string `json:"subject"`
--- a/core/leader/decide.go
+++ b/core/leader/decide.go
@@ -72,8 +72,9 @@
 	// suspicionTimeout is how long the other hosts have to check an instance that is suspected:
 	// long enough for a new connection and a report.
 	suspicionTimeout = 150 * time.Millisecond
-	// confirmAfter is how long after a promotion request the instance must still be the primary in
-	// its old term to count as the platform's primary all along: longer than the platform takes.
+	// confirmAfter is how long the host waits after the platform has accepted a promotion request.
+	// An instance that is still primary in its old term then was the primary already, and the
+	// platform changed nothing. It is longer than the platform takes for a promotion.
 	confirmAfter = 1600 * time.Millisecond
 	// noPrimaryTimeout is how long a group may be without a confirmed primary when no promotion was
 	// requested. At the start the instances have to be found first.
--- a/core/leader/primary.go
+++ b/core/leader/primary.go
@@ -120,7 +120,7 @@
 
 // AddLogTerm adds the term of the last entry in an instance's log. A term later than the one in
 // which the primary was confirmed shows that another instance has been the primary since. An
-// earlier term shows nothing, because a promotion writes no log entry.
+// earlier term shows nothing, because a promotion on a prepared machine writes no log entry.
 func (p *PrimaryState) AddLogTerm(i fleet.Instance, t fleet.Term) {
 	if i == p.primary && p.confirmed && t > p.term {
 		p.confirmed = false
--- a/core/leader/verify.go
+++ b/core/leader/verify.go
@@ -25,12 +25,12 @@
 // may get it, the term in which i is the primary and, with VerdictAsk, the instances to ask.
 // recordsCurrent is set if no promotion can have taken effect of which this host has no record.
 //
-// Guards against a primary that was replaced and has not noticed, because of a network partition or
-// because the promotion has not reached it: its writes are lost and its reads are stale. If the
+// Guards against lost writes and stale reads of a primary that was replaced and has not noticed,
+// because of a network partition or because the promotion has not reached it. If the
 // records are current, only the instance that the last record names can be the primary beside the
 // one that answered. Otherwise any other instance may be, so each of them has to be asked. A
 // majority isn't enough, as a promotion needs no majority. The log position that comes with every
-// answer isn't enough either, as a promotion writes no log entry.
+// answer isn't enough either: a promotion on a prepared machine writes no log entry.
 func (p *PrimaryState) VerifyAnswer(
 	i fleet.Instance, recordsCurrent bool, others []fleet.Instance,
 ) (Verdict, fleet.Term, []fleet.Instance) {
@@ -70,8 +70,8 @@
 	pending []PendingAnswer
 }
 
-// Add keeps a pending until each of others has reported its status in response to a request that
-// was sent no earlier than a.ReceivedAt.
+// Add stores the answer until every instance in others has reported its status in response to a
+// request that was sent no earlier than answer.ReceivedAt.
 func (p *PendingAnswers) Add(answer PendingAnswer, others []fleet.Instance) {
 	answer.missing = slices.Clone(others)
 	p.pending = append(p.pending, answer)
--- a/core/mesh/silence.go
+++ b/core/mesh/silence.go
@@ -15,7 +15,7 @@
 )
 
 // NeedsProbe reports whether the hosts of a data centre have to be probed, because nothing has
-// arrived from any of them for silent.
+// arrived from any of them for the duration silence.
 func NeedsProbe(silence time.Duration) bool { return silence > probeAfter }
 
 // DataCentreSilent reports whether a data centre counts as cut off. hosts is how many of its hosts
--- a/core/pathcost/pathcost.go
+++ b/core/pathcost/pathcost.go
@@ -23,7 +23,7 @@
 	Remote bool
 	// PrimaryRead is set for a read at the primary that a replica could run as well.
 	PrimaryRead bool
-	// Unreachable is set for an instance that is unreachable now.
+	// Unreachable is set while the host can't reach the instance.
 	Unreachable bool
 	// Cold is set for a read at a recently started instance that another instance could run as well.
 	Cold bool
@@ -43,15 +43,15 @@
 	// coldCost is above the wait at a warm instance, and below silentCost, so that a cold instance is
 	// preferred to an unreachable one.
 	coldCost = 400 * time.Millisecond
-	// unreachableCost is above any wait that is acceptable at a reachable instance.
+	// unreachableCost exceeds the longest wait that is still accepted at a reachable instance.
 	unreachableCost = 800 * time.Millisecond
 	// targetDivisor sets the fraction of the target, an eighth, that a caller waits for a local replica
 	// rather than use another data centre or the primary. A wait of that length isn't noticed.
 	targetDivisor = 8
 )
 
-// Cost returns the expected wait of the caller on this path, plus the extra wait that is preferable
-// to the path's costs for the fleet. target is the time within which the caller wants its answer,
+// Cost returns the expected wait of the caller on this path, plus a penalty, as a time, for the load
+// that the path puts on the fleet. target is the time within which the caller wants its answer,
 // zero if it is unknown.
 //
 // A path to another data centre costs a fraction of the target, not just its round trip: each such
@@ -59,9 +59,9 @@
 // doesn't notice a delay that the caller of an order does. Beyond that fraction the faster instance
 // is better, so that reads leave a local instance that is slow or full.
 //
-// A read at the primary costs as much: otherwise all reads of the primary's data centre would run
-// there, and the writes of all data centres would queue behind them. Between a local primary and
-// remote replicas the wait decides.
+// A read at the primary gets a penalty of the same fraction of the target: otherwise all reads of
+// the primary's data centre would run there, and the writes of all data centres would queue behind
+// them. Between a local primary and remote replicas the wait decides.
 func (p Path) Cost(target time.Duration) time.Duration {
 	latency := p.Latency
 	if latency == 0 {
--- a/core/place/bench_test.go
+++ b/core/place/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkMix reports, for the workloads of both users at several replication
-// lags, the share of reads that replicas serve and the latency of reads and writes,
+// BenchmarkMix reports, for an order workload and a browsing workload at several
+// replication lags, the share of reads that replicas serve and the latency of reads and writes,
 // in the virtual time of the simulation.
 func BenchmarkMix(b *testing.B) {
 	mixes := map[string]workload{
--- a/core/place/choose_test.go
+++ b/core/place/choose_test.go
@@ -17,7 +17,8 @@
 	tests := []struct {
 		name string
 		lag  time.Duration
-		// token, aged and blind are the minimum share of replica reads in each class.
+		// token, aged and blind are the minimum shares that replicas serve of the reads with a
+		// token, with a maximum age, and with neither.
 		token, aged, blind float64
 	}{
 		{name: "1 ms lag", lag: time.Millisecond, token: 0.95, aged: 0.99, blind: 0.95},
@@ -40,8 +41,8 @@
 }
 
 // Guards against reads that stay at a slow replica: its disk is failing and it
-// answers fifty times as slowly, so every second page of the portal stalls until
-// the reads move to other instances. Once it has recovered, it has to get reads again.
+// answers fifty times as slowly, so every second page that a browsing client
+// loads stalls until the reads move to other instances. Once it has recovered, it has to get reads again.
 func TestReadsShiftFromASlowReplicaAndBack(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(browsingWorkload)
--- a/core/quota/seat.go
+++ b/core/quota/seat.go
@@ -20,7 +20,8 @@
 // OwnershipRecord is what the platform's store holds of an ownership. It is
 // only changed by compare-and-swap, and stays when its owner's lease ends.
 type OwnershipRecord struct {
-	// Owner is the owner; the zero Process when it gave the ownership up.
+	// Owner is the process that owns the shard, the zero Process after the owner
+	// gave the shard up.
 	Owner Process `json:"holder"`
 	// Lease names the registration in the store under which the owner took the
 	// ownership. An owner whose lease has lapsed registers again and has to
@@ -149,7 +150,8 @@
 }
 
 type consent struct {
-	// highestWithdrawn is the highest tenure that gets no further consent.
+	// highestWithdrawn is the highest tenure number whose consent is withdrawn.
+	// It and all lower ones get no further consent.
 	highestWithdrawn uint64
 	expiresAt        time.Time
 }
--- a/core/ratelimit/account.go
+++ b/core/ratelimit/account.go
@@ -20,8 +20,9 @@
 	demand          float64
 	demandUpdatedAt time.Time
 	changedAt       time.Time
-	// partitionFraction is the fraction of the demand that was on the hosts that still report, when
-	// all hosts last did; 1 while all report, and 0 at first.
+	// partitionFraction is the fraction of the total demand on the hosts that still report, as
+	// computed when a host was first missing. It is 1 while all hosts report, and 0 before the first
+	// computation.
 	partitionFraction float64
 	// discarded is the number of tokens that weren't added to the estimate since then, because it
 	// was full or because they belong to the other hosts.
--- a/core/ratelimit/fleet_test.go
+++ b/core/ratelimit/fleet_test.go
@@ -64,8 +64,8 @@
 
 func hostName(n int) fleet.Host { return fleet.Host(fmt.Sprintf("h%d", n)) }
 
-// run plays a load for some time: perSecond is the number of operations requested of each host a
-// second.
+// run simulates a load for the duration d. perSecond is the number of operations requested of each
+// host a second.
 func (f *testFleet) run(d time.Duration, a catalog.Account, perSecond []float64) {
 	const step = 10 * time.Millisecond
 	r := rand.New(rand.NewPCG(1, 2))
--- a/core/ratelimit/ratelimit.go
+++ b/core/ratelimit/ratelimit.go
@@ -24,8 +24,9 @@
 	// other half is for what other hosts have admitted but not reported yet: a quarter of a second
 	// of an account that sends eight times its usual rate.
 	fullAdmissionLevel = 0.5
-	// levelCorrectionTime is the time over which what is left below fullAdmissionLevel may be used
-	// up, or an excess of admissions is made up for: some report intervals.
+	// levelCorrectionTime is the time in which the admitted fraction brings the level of the bucket
+	// to 0 while it is below fullAdmissionLevel: a positive level is spent on top of the rate, a
+	// negative one is recovered by admitting less than the rate. It is some report intervals.
 	levelCorrectionTime = time.Second
 	// unlistedHostExpiry is how long after its last report a host that isn't on the list still
 	// counts, countsKeptFor how long its counts are kept: it may be cut off, and return with the
--- a/core/ratelimit/ratelimit_test.go
+++ b/core/ratelimit/ratelimit_test.go
@@ -30,8 +30,9 @@
 	c.Assert(float64(served) >= 0.9*hotel.Rate*10, qt.IsTrue, qt.Commentf("%d in the last 10 s", served))
 }
 
-// A large account with a full burst sends several times its rate on eight hosts at once. What they
-// admit before they receive each other's reports comes on top of the burst.
+// A large account with a full burst sends several times its rate on eight hosts at once, which
+// admit operations before they receive each other's reports. The admissions in a window must stay
+// within 1.07 * (rate * window + burst), and the account must still get 0.9 of its rate.
 func TestSuddenFloodStaysWithinRateAndBurst(t *testing.T) {
 	c := qt.New(t)
 	chain := catalog.Account{Name: "chain", Rate: 175, Burst: 175}
--- a/core/reference/bucket.go
+++ b/core/reference/bucket.go
@@ -47,8 +47,9 @@
 // more than rate·w + burst admissions, or -1. The admissions are in the order
 // of time.
 //
-// A full bucket that is asked at each admission is empty exactly when some
-// window that ends there holds too many, so one pass covers every window.
+// A bucket that starts full and serves the same admissions runs out at one of
+// them exactly when some window that ends at that admission has more than
+// rate·w + burst admissions. So one pass covers every window.
 func FirstExcess(admitted []time.Time, rate, burst float64) int {
 	b := Bucket{Rate: rate, Burst: burst}
 	for i, t := range admitted {
--- a/core/relay/availability.go
+++ b/core/relay/availability.go
@@ -122,8 +122,8 @@
 // answered that it can't reach the instance, they would try further hosts one after the other.
 func (r *Relay) startingUp(now time.Time) bool { return now.Sub(r.startedAt) < discoveryPeriod }
 
-// primaryCoversRead reports whether the primary can be reached and is known to have been the only one up to
-// the time as of which the read has to show all commits.
+// primaryCoversRead reports whether the primary can be reached and is known to have been the sole primary
+// until o.asOf. The read has to reflect all commits before that time.
 func (g *group) primaryCoversRead(now time.Time, o *operation) bool {
 	p := g.primary()
 	return p != nil && g.r.canReach(now, p) && p.acceptsNew(now) && !o.excluded.Has(p.info.Name) && !g.superseded() &&
--- a/core/relay/event.go
+++ b/core/relay/event.go
@@ -8,7 +8,7 @@
 	"skylarkdeal/core/statement"
 )
 
-// EventKind is the subject of an event.
+// EventKind is the type of an event.
 type EventKind string
 
 // The kinds of events.
--- a/core/relay/instance.go
+++ b/core/relay/instance.go
@@ -28,7 +28,8 @@
 	statusAt time.Time
 	// termAskedAt is when the status that term comes from was requested.
 	termAskedAt time.Time
-	// lastHeard is when it last responded on a connection of this host's own, at first when it was listed.
+	// lastHeard is when it last responded on one of this host's own connections. Until then it is when the
+	// instance was added to the list.
 	lastHeard time.Time
 	// failures is the number of consecutive failed connections, nextDial the earliest time of the next attempt.
 	failures int
--- a/core/roster/roles.go
+++ b/core/roster/roles.go
@@ -1,5 +1,5 @@
-// Package roster keeps which hosts are live or leaving, and which of them has which duty. It reads
-// no clock and does no input or output.
+// Package roster tracks which hosts are live or leaving, and which host has which duty. It reads no
+// clock and does no input or output.
 package roster
 
 import (
--- a/core/session/session.go
+++ b/core/session/session.go
@@ -55,14 +55,14 @@
 }
 
 // Latest reports whether the read states neither a token nor a maximum age. It then
-// needs a proof that is made after its arrival.
+// needs a group.Proof as of a time no earlier than its arrival.
 func (n Need) Latest() bool {
 	return !n.After.IsSet() && n.MaxAge == 0
 }
 
-// Resolve returns the need of a Latest read that p resolves: After is the position of
-// p. It returns n unchanged if n isn't Latest or p is as of a time before the read's
-// arrival.
+// Resolve turns the need of a read without a token or a maximum age into a required log
+// position: it returns n with After set to p.Position. It returns n unchanged if n has a
+// token or a maximum age, or if p.AsOf is before the read's arrival.
 func (n Need) Resolve(p group.Proof) Need {
 	if !n.Latest() || p.AsOf.Before(n.Arrived) {
 		return n
--- a/core/session/session_test.go
+++ b/core/session/session_test.go
@@ -119,7 +119,7 @@
 }
 
 // A caller writes through one host and reads through another without a token. The
-// position of a proof that was made before the read arrived may lack that write.
+// log position in a group.Proof as of a time before the read's arrival may lack that write.
 func TestResolveIgnoresProofBeforeArrival(t *testing.T) {
 	c := qt.New(t)
 	n := session.NeedOf(&exchange.Request{Intent: exchange.IntentRead}, at(30))
@@ -131,7 +131,7 @@
 		group.Snapshot{}), qt.IsTrue)
 	c.Assert(n.Satisfied(session.Answer{Position: position(1, 29), Role: fleet.RoleReplica}, at(40),
 		group.Snapshot{}), qt.IsFalse)
-	// The read reached the primary before the status request of the proof did.
+	// The read reached the primary before the status request on which the proof is based.
 	c.Assert(n.Satisfied(session.Answer{Position: position(1, 29), Role: fleet.RolePrimary}, at(40),
 		group.Snapshot{}), qt.IsTrue)
 }
--- a/core/settings/settings.go
+++ b/core/settings/settings.go
@@ -257,8 +257,8 @@
 const (
 	DefaultShutdownTimeout = 6 * time.Second
 	DefaultRateWindow      = 5 * time.Second
-	// DefaultMinPromotionTime assumes nothing about the platform: the host then delays a
-	// promotion request until leases that were renewed before it are no longer valid.
+	// DefaultMinPromotionTime means that a promotion may take effect at once. The host then
+	// delays a promotion request until leases that were renewed before it are no longer valid.
 	DefaultMinPromotionTime = 0 * time.Second
 	DefaultPromotionDelay   = time.Second
 	DefaultMemory           = 256 << 20
--- a/core/staleness/staleness.go
+++ b/core/staleness/staleness.go
@@ -14,7 +14,8 @@
 	Position fleet.LogPosition
 	AskedAt  time.Time
 	// PrimaryTerm is the term of the primary that reported the position. The position may be of an
-	// earlier term, as a promotion writes no log entry.
+	// earlier term: a promotion in a group on the prepared machines writes no log entry. (One in a
+	// PostgreSQL group of core/group appends an entry.)
 	PrimaryTerm fleet.Term
 }
 
--- a/io/forward/store_update.go
+++ b/io/forward/store_update.go
@@ -12,11 +12,12 @@
 // Parts are the parts of the store's content that a reader passes on, by name.
 type Parts = map[follow.Part]follow.PartCopy[[]registry.Entry]
 
-// StoreUpdate is what a reader passes on to a follower. All times but EchoSent are of the reader's
-// clock.
+// StoreUpdate is what a reader forwards to a follower: what it has read from the store, and when. On
+// the wire it is the message News, where RequestSentAt and RequestReceivedAt are echo_sent and
+// echo_heard. All times but RequestSentAt are of the reader's clock.
 type StoreUpdate struct {
-	// RequestSentAt is when the follower sent its last request, by the follower's clock. RequestReceivedAt is
-	// when the reader received it.
+	// RequestSentAt is when the follower sent its last request, by the follower's clock.
+	// RequestReceivedAt is when the reader received it.
 	RequestSentAt, RequestReceivedAt time.Time
 	// Renewed is when the reader sent its last successful renewal, zero if its registration has
 	// ended since.
@@ -40,7 +41,7 @@
 	return appendFrame(b, &forwardpb.Frame{Kind: &forwardpb.Frame_Follow{Follow: m}})
 }
 
-// AppendStoreUpdate appends an update of the store.
+// AppendStoreUpdate appends a frame that tells a follower what the reader has read from the store.
 func AppendStoreUpdate(b []byte, n StoreUpdate) []byte {
 	m := &forwardpb.News{
 		EchoSent: toUnixNano(n.RequestSentAt), EchoHeard: toUnixNano(n.RequestReceivedAt), Renewed: toUnixNano(n.Renewed),
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -42,8 +42,8 @@
 	Unreachable                []UnreachableInstance
 	// Reachable are the instances that this host can reach although another host can't.
 	Reachable []fleet.Instance
-	// CatalogRevision is the revision of the catalog's newest change that the host knows, RecordRevision that of
-	// the newest record of a promotion request.
+	// CatalogRevision is the revision of the catalog's newest change that the host knows,
+	// RecordRevision that of the newest record of a promotion request.
 	CatalogRevision, RecordRevision uint64
 	// CatalogAge is the time since the host itself found Catalog to be the newest.
 	CatalogAge time.Duration
@@ -58,7 +58,7 @@
 	// Address is where the host receives reports.
 	Address string
 	// Received is called with the reports of each datagram: one report from its sender, or several
-	// that a gossip relay has passed on. It is called on the receiving goroutine.
+	// that a gossip relay has forwarded; forwarded tells which. It is called on the receiving goroutine.
 	Received func(rs []Report, forwarded bool)
 	Logger   *zap.Logger
 }
@@ -93,7 +93,7 @@
 	return g, nil
 }
 
-// Close closes the socket and waits until the last call of Heard has returned.
+// Close closes the socket and waits until the last call of Received has returned.
 func (g *Gossip) Close() error {
 	err := g.conn.Close()
 	<-g.done
@@ -109,7 +109,8 @@
 			return
 		}
 		if err != nil {
-			// A host that can't be reached sometimes shows as an error of the socket.
+			// After a send to an unreachable host, the read may return an ICMP error. The socket
+			// is still usable.
 			continue
 		}
 		rs, forwarded, err := decode(b[:n])
--- a/io/loop/conn.go
+++ b/io/loop/conn.go
@@ -126,7 +126,7 @@
 // within Data.
 func (c *Conn) Pause() { c.paused = true }
 
-// Resume has Data called with the bytes received since Pause. It does so by Post.
+// Resume makes the loop call Data with the bytes received since Pause. It does so by Post.
 func (c *Conn) Resume() {
 	if !c.paused {
 		return
--- a/io/loop/loop.go
+++ b/io/loop/loop.go
@@ -148,7 +148,8 @@
 	}
 }
 
-// RequestTick has TickInterval called again before the next tick.
+// RequestTick makes the loop call TickInterval again and restart the wait for the next tick with its
+// result.
 func (l *Loop) RequestTick() {
 	select {
 	case l.tickRequested <- struct{}{}:
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// Post has f called on the loop. After the loop has stopped it does nothing.
+// Post queues f to be called on the loop. After the loop has stopped it does nothing.
 func (l *Loop) Post(f func()) {
 	_ = l.eventLoop.Execute(context.Background(), runnable(f))
 }
--- a/io/registry/follow_test.go
+++ b/io/registry/follow_test.go
@@ -219,8 +219,8 @@
 	until(c, got, "the other one", func() bool { return records() == 2 })
 }
 
-// Guards against a failure of all hosts that is over before their registrations have ended. Each
-// host finds other hosts registered, and all of them would follow hosts that follow.
+// All hosts restart before their registrations have expired. Each host finds others registered, and
+// must not become a follower for that reason: then no host would read the store.
 func TestHostThatWasRegisteredReadsAgain(t *testing.T) {
 	c := qt.New(t)
 	s := newMemStore()
--- a/io/registry/initial_role.go
+++ b/io/registry/initial_role.go
@@ -58,7 +58,8 @@
 			return follow.RoleReader
 		case slices.ContainsFunc(stored.registered, r.isSelf):
 			// The registration of this host's previous process hasn't ended yet. The other
-			// registrations may be as old, and then all hosts would follow each other.
+			// registrations may be stale as well. If every host then became a follower, none would
+			// read the store.
 			return r.roleWithReaders(preferredReaders(stored.registered))
 		case slices.ContainsFunc(stored.registered, sameDataCentre):
 			return follow.RoleFollower
--- a/io/registry/operator_entries.go
+++ b/io/registry/operator_entries.go
@@ -10,8 +10,8 @@
 // operatorEntries holds the entries that operators have written to the store, as far as this host
 // knows them. The zero operatorEntries is empty.
 //
-// Guards against responses that arrive in another order than they were read: a list that was read
-// before an evacuation and arrives after it would have the evacuated data centre used again.
+// Responses of the store may arrive out of order. Without the revisions, a list that was read before
+// an evacuation and arrives after it would undo the evacuation.
 type operatorEntries struct {
 	mu      sync.Mutex
 	entries map[string]Entry
--- a/io/registry/read_delay.go
+++ b/io/registry/read_delay.go
@@ -16,9 +16,9 @@
 	rankedHosts = 2
 )
 
-// readDelay returns how long after the due time this host makes a reading that one host makes for
-// all. The other hosts wait for the report of the first one, so that the number of calls doesn't
-// grow with the fleet.
+// readDelay returns how long this host waits after the due time before it reads the store, where
+// the reading of one host is enough for all. The other hosts skip theirs once they have the report
+// of the first one, so that the number of calls doesn't grow with the fleet.
 //
 // A random delay of up to 0.6 s isn't enough: most of 77 hosts had read before the report of the
 // first reading reached them.
--- a/io/registry/registry.go
+++ b/io/registry/registry.go
@@ -44,12 +44,12 @@
 	ParseCatalog  func(es []Entry) (*catalog.Catalog, error)
 	ParseInstance func(e Entry) (catalog.Instance, bool)
 	Now           func() time.Time
-	// Rank returns how many other hosts read the store on behalf of all hosts before this one. It
-	// may be nil.
+	// Rank returns this host's position in the order in which hosts read the store for the fleet; 0
+	// is the first. It may be nil, which counts as 0.
 	Rank func() int
-	// Post has f called on the goroutine that makes the host's decisions.
+	// Post queues f to be called on the goroutine that makes the host's decisions.
 	Post func(f func())
-	// ElectReaders has Run choose whether the host first reads the store or follows a host that
+	// ElectReaders makes Run choose whether the host first reads the store or follows a host that
 	// does. If it is false, the host reads.
 	ElectReaders bool
 	// PartRead is called with each part of the store that was read, to pass it on to followers. It
@@ -251,7 +251,7 @@
 	}
 }
 
-// RefreshRecords has the records read again soon. It doesn't wait for that.
+// RefreshRecords requests that the records are read again soon. It doesn't wait for that.
 func (r *Registry) RefreshRecords() { signal(r.recordsRefresh) }
 
 // ListHosts has the registered hosts listed again soon. It doesn't wait for that.
@@ -260,7 +260,7 @@
 // StoreReachable reports whether the store has answered since a call last failed.
 func (r *Registry) StoreReachable() bool { return !r.storeHealth.isLost() }
 
-// ReloadCatalog ends the current watch and has the catalog read again. It doesn't wait for that.
+// ReloadCatalog ends the current watch and requests that the catalog is read again. It doesn't wait for that.
 func (r *Registry) ReloadCatalog() { signal(r.catalogRefresh) }
 
 func signal(c chan struct{}) {
--- a/io/registry/registry_test.go
+++ b/io/registry/registry_test.go
@@ -55,9 +55,11 @@
 	return startWithMinPromotionTime(c, s, rank, time.Second)
 }
 
-// startWithMinPromotionTime starts a registry for a platform that takes at least the given time for a
-// promotion.
-func startWithMinPromotionTime(c *qt.C, s *memStore, rank int, minPromotionTime time.Duration) (*registry.Registry, *callbackLog) {
+// startWithMinPromotionTime starts a registry for a platform that takes at least minPromotionTime for
+// a promotion.
+func startWithMinPromotionTime(
+	c *qt.C, s *memStore, rank int, minPromotionTime time.Duration,
+) (*registry.Registry, *callbackLog) {
 	return startWithDelay(c, s, rank, minPromotionTime, 0)
 }
 
