--- a/core/follow/subscription.go
+++ b/core/follow/subscription.go
@@ -8,9 +8,9 @@
 
 // Subscription is one period of following a reader. The zero Subscription follows no reader.
 //
-// Guards against a follower that leaves a reader and returns to it over the same link. It has
-// ignored what the reader passed on in between, records of promotion requests among it. A later
-// renewal would then seem to confirm records that are outdated. A subscription therefore begins
+// Guards against a renewal that seems to confirm outdated records, after a follower has left a reader
+// and returned to it over the same link. The follower has ignored what the reader forwarded in
+// between, records of promotion requests among it. A subscription therefore begins
 // with a request for all parts, and accepts only updates that were sent after the reader had
 // received that request.
 type Subscription struct {
--- a/core/leader/leader_test.go
+++ b/core/leader/leader_test.go
@@ -47,8 +47,8 @@
 	// a 3 true
 }
 
-// Guards against a registration that is older than the last record and names the former primary: it
-// must not replace the designated primary, and neither must an older record.
+// A registration that is older than the last record and names the former primary must not replace the
+// designated primary, and neither must an older record.
 func TestRecordTakesPrecedenceOverRegistrations(t *testing.T) {
 	c := qt.New(t)
 	p := confirmedPrimary()
--- a/core/relay/sole_primary.go
+++ b/core/relay/sole_primary.go
@@ -100,11 +100,11 @@
 // sharesHistory reports whether the log of a replica is known to belong to the history of a sample. Only
 // then does a log that covers the sample's position hold all entries before it.
 //
-// A promotion on a prepared machine writes no log entry: until its first commit, the new primary's log position is of the former
-// term. A replica that still follows the former primary may cover that position with the former
-// primary's entries, which may differ from those of the new primary's log. A position of the new term
-// occurs in no other history. For a position of an earlier term, the replica's own status has to show
-// that it is in the new term.
+// A promotion on a prepared machine writes no log entry: until its first commit, the new primary's log
+// position is of the former term. A replica that still follows the former primary may cover that position
+// with the former primary's entries, which may differ from those of the new primary's log. A position of
+// the new term occurs in no other history. For a position of an earlier term, the replica's own status has
+// to show that it is in the new term.
 func (i *instance) sharesHistory(s staleness.Sample) bool {
 	return s.Position.Term >= s.PrimaryTerm || i.term >= s.PrimaryTerm
 }
