--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -276,7 +276,8 @@
 
 func (h *Host) tell(f *follower) {
 	n := forward.StoreUpdate{
-		RequestSentAt: f.asked, RequestReceivedAt: f.heard, Renewed: h.following.own, Parts: h.following.copies.UpdatesFor(f.has),
+		RequestSentAt: f.asked, RequestReceivedAt: f.heard, Renewed: h.following.own,
+		Parts: h.following.copies.UpdatesFor(f.has),
 	}
 	if f.has[follow.PartHosts] == 0 {
 		// The others come by the hosts' own reports.
