--- a/core/document/table.go
+++ b/core/document/table.go
@@ -150,8 +150,9 @@
 	}
 }
 
-// Confirmed returns the time of the last confirmation, zero if there was none.
-func (d *Documents) Confirmed() time.Time {
+// ConfirmedAt returns when all documents were last known to be the newest versions, zero
+// if never.
+func (d *Documents) ConfirmedAt() time.Time {
 	return d.confirmedAt
 }
 
--- a/core/relay/node_test.go
+++ b/core/relay/node_test.go
@@ -11,41 +11,42 @@
 	"skylarkdeal/core/statement"
 )
 
-// node is one instance.
+// node simulates one instance.
 type node struct {
-	name   fleet.Instance
-	role   fleet.Role
-	term   fleet.Term
-	point  fleet.LogPosition
-	conns  []*link
-	ran    []string
-	silent bool
-	// hold keeps answers back until release is called.
+	name     fleet.Instance
+	role     fleet.Role
+	term     fleet.Term
+	position fleet.LogPosition
+	conns    []*link
+	executed []string
+	silent   bool
+	// hold keeps answers in pending until it is unset and they are delivered.
 	hold    bool
 	pending []func()
-	// fail answers the next statements that would run with a code.
+	// fail holds the codes that the next statements fail with, one each, instead of running.
 	fail []statement.Code
-	// refuse answers new connections with a code.
+	// refuse is the code that new connections are refused with, empty to accept them.
 	refuse statement.Code
-	away   bool
-	// busy has it turn away whatever is more than a question.
+	// unlisted is set while the list of instances lacks it.
+	unlisted bool
+	// busy makes it refuse all statements but step-downs and rollbacks.
 	busy bool
-	// far puts it in another data centre than the relay's.
-	far bool
-	// cold is how much longer it says that it is slow.
+	// otherDataCentre is set if it is in another data centre than the relay.
+	otherDataCentre bool
+	// cold is for how much longer it reports itself as slow.
 	cold time.Duration
-	// lagged counts the statements that needed a point which the log lacks.
+	// lagged counts the statements that required a log position which the log doesn't cover.
 	lagged int
-	// dialled counts the tries to connect.
+	// dialled counts the connection attempts.
 	dialled int
 }
 
-// link is one connection to a node, as the node sees it.
+// link is the node's end of one connection.
 type link struct {
 	node  *node
 	conn  *relay.Conn
 	state statement.TxState
-	// writes is set in a transaction that only a primary takes.
+	// writes is set in a transaction that only a primary accepts.
 	writes bool
 	values map[string]string
 	names  map[string]statement.Definition
@@ -54,7 +55,7 @@
 
 func (n *node) answer(l *link, a statement.Answer) statement.Answer {
 	a.State = l.state
-	a.Position = fleet.Some(n.point)
+	a.Position = fleet.Some(n.position)
 	return a
 }
 
@@ -71,13 +72,13 @@
 	})
 }
 
-// run does what an instance does with a statement.
+// run handles a statement as an instance does, and returns the answer.
 func (n *node) run(l *link, q statement.Statement) statement.Answer {
 	var a statement.Answer
 	if n.busy && q.Kind != statement.KindStepDown && q.Kind != statement.KindRollback {
 		return n.answer(l, statement.Answer{Code: statement.CodeBusy})
 	}
-	if p, ok := q.After.Get(); ok && !n.point.Covers(p) {
+	if p, ok := q.After.Get(); ok && !n.position.Covers(p) {
 		n.lagged++
 		return n.answer(l, statement.Answer{Code: statement.CodeLagging})
 	}
@@ -105,15 +106,15 @@
 			return n.answer(l, statement.Answer{Code: statement.CodeReadOnly})
 		}
 		l.state, l.writes = statement.TxOpen, q.Kind == statement.KindBegin
-		n.ran = append(n.ran, "begin "+string(q.ID))
+		n.executed = append(n.executed, "begin "+string(q.ID))
 	case statement.KindRollback:
 		l.state, l.writes = statement.TxNone, false
-		n.ran = append(n.ran, "rollback")
+		n.executed = append(n.executed, "rollback")
 	case statement.KindStepDown:
 		if q.Term > n.term {
 			n.role, n.term = fleet.RoleReplica, q.Term
 		}
-		a.Rows = []string{fmt.Sprintf("%s %d %d %d", n.role, n.term, n.point.Term, n.point.Index)}
+		a.Rows = []string{fmt.Sprintf("%s %d %d %d", n.role, n.term, n.position.Term, n.position.Index)}
 	default:
 		return n.work(l, q)
 	}
@@ -146,12 +147,12 @@
 		values = append(values, k+"="+v)
 	}
 	slices.Sort(values)
-	n.ran = append(n.ran, strings.TrimSpace(fmt.Sprintf("%s %s %s", q.Kind, q.ID, strings.Join(values, " "))))
+	n.executed = append(n.executed, strings.TrimSpace(fmt.Sprintf("%s %s %s", q.Kind, q.ID, strings.Join(values, " "))))
 	if q.Kind == statement.KindCommit {
 		l.state, l.writes = statement.TxNone, false
 	}
 	if writes && l.state == statement.TxNone || q.Kind == statement.KindCommit {
-		n.point = fleet.LogPosition{Term: n.term, Index: n.point.Index + 1}
+		n.position = fleet.LogPosition{Term: n.term, Index: n.position.Index + 1}
 	}
 	return n.answer(l, statement.Answer{Rows: []string{"row"}, Digest: "d-" + string(n.name)})
 }
--- a/core/relay/primary_test.go
+++ b/core/relay/primary_test.go
@@ -12,62 +12,64 @@
 	"skylarkdeal/core/statement"
 )
 
-// A host loses the store, and a primary is replaced without its knowing. The old primary
-// still accepts writes on this side of a cut; they will be lost. The host must not
-// acknowledge before it has asked the others, and here one leads a later term.
+// A host loses the store, and the primary is replaced without its knowledge. The old primary still
+// accepts writes on the host's side of a network partition; they will be lost. The host must poll
+// the other instances before it acknowledges, and here one leads a later term.
 func TestWriteOfAReplacedPrimaryIsNotAcknowledged(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c).settled()
+	w := newWorld(c).withConfirmedPrimary()
 	x := w.open("rush", "key-1")
-	w.pass(time.Second, false)
+	w.advance(time.Second, false)
 	b := w.instances["b"]
 	b.role, b.term = fleet.RolePrimary, 2
 	x.do(statement.KindWrite, "", "item data")
-	w.pass(50*time.Millisecond, false)
+	w.advance(50*time.Millisecond, false)
 	c.Assert(w.count("write q1"), qt.Equals, 1)
 	c.Assert(x.last().Code, qt.Equals, statement.CodeInDoubt)
 }
 
-// As above, but the promoted instance has written nothing yet: its log still ends in the
-// old term, as a promotion writes no entry. Only its own word tells that it leads. A
-// write was acknowledged and lost when the position was taken for that.
-func TestPositionOfAPromotedInstanceProvesNothing(t *testing.T) {
+// As in TestWriteOfAReplacedPrimaryIsNotAcknowledged, but the promoted instance has written nothing
+// yet: its log still ends in the old term, as a promotion writes no entry. Only its own status
+// shows that it leads. A host took the log position as evidence that it doesn't, and a write was
+// acknowledged and lost.
+func TestPositionOfAPromotedInstanceVerifiesNothing(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c).settled()
+	w := newWorld(c).withConfirmedPrimary()
 	w.open("stock", "key-1").do(statement.KindRead, "", "warm up")
-	w.pass(time.Second, false)
+	w.advance(time.Second, false)
 	b := w.instances["b"]
 	b.role, b.term = fleet.RolePrimary, 2
-	c.Assert(b.point.Term, qt.Equals, fleet.Term(1))
+	c.Assert(b.position.Term, qt.Equals, fleet.Term(1))
 	x, y := w.open("rush", "key-1"), w.open("stock", "key-1")
 	x.do(statement.KindWrite, "", "item data")
-	y.do(statement.KindRead, "", "item") // brings an answer of a replica with its position
-	w.pass(50*time.Millisecond, false)
+	y.do(statement.KindRead, "", "item") // the answer of a replica carries its log position
+	w.advance(50*time.Millisecond, false)
 	c.Assert(x.last().Code, qt.Equals, statement.CodeInDoubt)
 }
 
-// With the store away the answers of the primary are good as long as the others say so.
-func TestWritesAreProvedWithoutTheStore(t *testing.T) {
+// Without the store, a write on the primary is acknowledged when the other instances report no
+// later term.
+func TestWritesAreVerifiedWithoutTheStore(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c).settled()
+	w := newWorld(c).withConfirmedPrimary()
 	x := w.open("rush", "key-1")
-	w.pass(time.Second, false)
+	w.advance(time.Second, false)
 	x.do(statement.KindWrite, "", "item data")
-	w.pass(50*time.Millisecond, false)
+	w.advance(50*time.Millisecond, false)
 	c.Assert(x.last().Digest, qt.Equals, "d-a")
 }
 
-// Without the store, with one instance out of reach, nobody can tell whether that one
-// leads by now. A write that was sent would stay in doubt, so none is sent: its caller is
-// told that it was not run, and when to come back.
-func TestUnprovableWriteIsNotSent(t *testing.T) {
+// Without the store, and with one instance out of reach, no host can tell whether that instance
+// leads by now. A write that was sent would stay in doubt, so none is sent: it is refused as not
+// run, with a time to retry.
+func TestUnverifiableWriteIsNotSent(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c).settled()
+	w := newWorld(c).withConfirmedPrimary()
 	w.instances["c"].silent = true
-	w.pass(2*time.Second, false)
+	w.advance(2*time.Second, false)
 	first, x := w.open("rush", "key-1"), w.open("rush", "key-1")
 	first.do(statement.KindWrite, "", "found out by this one")
-	w.pass(500*time.Millisecond, false)
+	w.advance(500*time.Millisecond, false)
 	c.Assert(first.last().Code, qt.Equals, statement.CodeInDoubt)
 	x.do(statement.KindWrite, "", "item data")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
@@ -76,121 +78,123 @@
 	c.Assert(w.returned, qt.Equals, 1)
 }
 
-// A primary goes dark: it resets nothing. Statements on it must not wait for their time
-// limit, and new ones are refused, unrun, as soon as it is known.
-func TestDarkPrimaryIsNoticed(t *testing.T) {
+// The primary stops responding and resets no connection. Statements on it must not wait for their
+// timeout, and new ones are refused, not run, as soon as this is detected.
+func TestSilentPrimaryIsDetected(t *testing.T) {
 	for _, key := range []catalog.Key{"key-1", "key-3"} {
-		// One of the accounts finds the connection of the first question at rest.
-		darkPrimary(qt.New(t), key)
+		// One of the accounts gets the idle connection of the first poll.
+		checkSilentPrimary(qt.New(t), key)
 	}
 }
 
-func darkPrimary(c *qt.C, key catalog.Key) {
-	w := newWorld(c).settled()
+// checkSilentPrimary checks two statements for the account of a key: one that is sent to a silent primary
+// before the silence is detected, and one that comes after.
+func checkSilentPrimary(c *qt.C, key catalog.Key) {
+	w := newWorld(c).withConfirmedPrimary()
 	x := w.open("rush", key)
 	x.do(statement.KindRead, "", "item")
 	w.instances["a"].silent = true
 	y := w.open("rush", key)
 	y.do(statement.KindWrite, "", "item data")
-	w.pass(600*time.Millisecond, true)
+	w.advance(600*time.Millisecond, true)
 	c.Assert(y.last().Code, qt.Equals, statement.CodeInDoubt)
 	x.do(statement.KindWrite, "", "item data")
 	c.Assert(x.last().Code, qt.Equals, statement.CodeBusy)
 	c.Assert(x.last().RetryAfter > 0, qt.IsTrue)
-	_, doubted := w.relay.Unreachable()["a"]
-	c.Assert(doubted, qt.IsTrue)
+	_, suspected := w.relay.Unreachable()["a"]
+	c.Assert(suspected, qt.IsTrue)
 }
 
-// A link breaks between this host, which has the duty, and the primary. The others reach
-// it and say so: one bad link replaces no primary.
-func TestDutyDoesNotReplaceAPrimaryThatOthersReach(t *testing.T) {
+// The link between the failover coordinator and the primary breaks. The other hosts report that
+// they reach the primary: one broken link must replace no primary.
+func TestCoordinatorKeepsAPrimaryThatOthersReach(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c).settled()
+	w := newWorld(c).withConfirmedPrimary()
 	w.relay.SetCoordinator(true)
-	tell := func(reached ...fleet.Instance) {
+	report := func(reached ...fleet.Instance) {
 		w.relay.AddReachability("h2", nil, reached)
 		w.relay.AddReachability("h3", nil, reached)
-		w.pass(100*time.Millisecond, true)
+		w.advance(100*time.Millisecond, true)
 	}
 	for range 15 {
-		tell()
+		report()
 	}
-	w.lose("a")
+	w.makeUnreachable("a")
 	for range 20 {
-		tell("a")
+		report("a")
 	}
-	c.Assert(w.orders, qt.HasLen, 0)
+	c.Assert(w.promotionRequests, qt.HasLen, 0)
 }
 
-// The primary goes dark. Only its holder has connections to it; all others use it over
-// that host, and notice nothing by themselves. The holder's doubt has to do, once the
-// others had the time to look: it took 8 s, until the instance was off the list.
-func TestDutyReplacesAPrimaryThatOnlyItsHolderMisses(t *testing.T) {
+// The primary stops responding. Only its holder has connections to it; all other hosts use it
+// through the holder and detect nothing themselves. The suspicion of the holder must suffice, once
+// the others had the time to probe: the failover took 8 s, until the instance was off the list.
+func TestCoordinatorReplacesAPrimaryThatOnlyItsHolderSuspects(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c).settled()
+	w := newWorld(c).withConfirmedPrimary()
 	w.relay.SetCoordinator(true)
-	w.instances["c"].point.Index = 9
+	w.instances["c"].position.Index = 9
 	for range 15 {
 		w.relay.AddReachability("h2", nil, nil)
-		w.pass(100*time.Millisecond, true)
+		w.advance(100*time.Millisecond, true)
 	}
-	w.lose("a")
-	w.pass(700*time.Millisecond, true)
-	c.Assert(w.orders, qt.HasLen, 1)
-	o := w.orders[0]
+	w.makeUnreachable("a")
+	w.advance(700*time.Millisecond, true)
+	c.Assert(w.promotionRequests, qt.HasLen, 1)
+	o := w.promotionRequests[0]
 	c.Assert(o.Primary, qt.Equals, fleet.Instance("c"), qt.Commentf("it has received most"))
 	c.Assert(o.Former, qt.Equals, fleet.Instance("a"))
 	c.Assert(o.Term, qt.Equals, fleet.Term(2))
 	c.Assert(o.Reason, qt.Equals, leader.ReasonUnreachable)
 }
 
-// Another host doubts an instance that this one has not used for long. It looks for
-// itself, and can then say that it reaches it.
-func TestHostLooksForItselfWhenAnotherDoubts(t *testing.T) {
+// Another host suspects an instance that this host has not used for long. This host must probe it,
+// and then report that it reaches it.
+func TestHostProbesAnInstanceThatAnotherSuspects(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c).settled()
-	w.pass(2*time.Second, true)
+	w := newWorld(c).withConfirmedPrimary()
+	w.advance(2*time.Second, true)
 	c.Assert(w.relay.Reachable(), qt.HasLen, 0)
 	w.relay.AddReachability("h2", []fleet.Instance{"c"}, nil)
-	w.pass(100*time.Millisecond, true)
+	w.advance(100*time.Millisecond, true)
 	c.Assert(w.relay.Reachable(), qt.DeepEquals, []fleet.Instance{"c"})
 }
 
-// A data centre was cut off and is back. Its hosts report again at once, still doubting
-// the primary that was made meanwhile: they have not tried it since. Their word replaced
-// a healthy primary, and all writes stood still for a second.
-func TestDoubtsOfAHostThatWasCutOffDontCount(t *testing.T) {
+// A data centre was cut off and is back. Its hosts report again at once, and still suspect the
+// primary that was promoted meanwhile: they have not probed it since. These reports replaced a
+// healthy primary, and all writes were blocked for a second.
+func TestSuspicionsOfAHostThatWasCutOffDontCount(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c).settled()
+	w := newWorld(c).withConfirmedPrimary()
 	w.relay.SetCoordinator(true)
 	for range 12 {
 		w.relay.AddReachability("h2", nil, nil)
-		w.pass(100*time.Millisecond, true)
+		w.advance(100*time.Millisecond, true)
 	}
 	for range 9 {
 		w.relay.AddReachability("h2", nil, nil)
 		w.relay.AddReachability("h3", []fleet.Instance{"a"}, nil)
 		w.relay.AddReachability("h4", []fleet.Instance{"a"}, nil)
-		w.pass(100*time.Millisecond, true)
+		w.advance(100*time.Millisecond, true)
 	}
-	c.Assert(w.orders, qt.HasLen, 0)
+	c.Assert(w.promotionRequests, qt.HasLen, 0)
 }
 
-// The primary is leaving. Its successor is ordered while it still works, and it goes on
-// until then: callers wait a tenth of a second, not the whole change.
+// The primary is leaving. The promotion of its successor is requested while it still works, and it
+// serves until then: callers wait a tenth of a second, not for the whole change.
 func TestLeavingPrimaryGoesOnUntilItsSuccessorLeads(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c).settled()
+	w := newWorld(c).withConfirmedPrimary()
 	w.relay.SetCoordinator(true)
 	w.list("a")
-	w.pass(100*time.Millisecond, true)
-	c.Assert(w.orders, qt.HasLen, 1)
-	o := w.orders[0]
+	w.advance(100*time.Millisecond, true)
+	c.Assert(w.promotionRequests, qt.HasLen, 1)
+	o := w.promotionRequests[0]
 	c.Assert(o.Reason, qt.Equals, leader.ReasonLeaving)
 	w.relay.AddRecord(leader.Record{Service: service, Term: o.Term, Primary: o.Primary, Former: o.Former, Revision: 7})
 	x := w.open("rush", "key-1")
 	x.do(statement.KindWrite, "", "before")
-	w.pass(880*time.Millisecond, true)
+	w.advance(880*time.Millisecond, true)
 	c.Assert(x.last().Digest, qt.Equals, "d-a")
 	w.relay.RequestStepDown(o)
 	w.deliver()
@@ -198,7 +202,7 @@
 	c.Assert(x.answers, qt.HasLen, 1)
 	n := w.instances[o.Primary]
 	n.role, n.term = fleet.RolePrimary, o.Term
-	w.pass(150*time.Millisecond, true)
+	w.advance(150*time.Millisecond, true)
 	c.Assert(x.last().Digest, qt.Equals, "d-"+string(o.Primary))
 	c.Assert(w.count("write"), qt.Equals, 2)
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -138,7 +138,7 @@
 	if !h.spread.Ready() {
 		return errNoDocuments
 	}
-	if h.grants.Claiming() && time.Since(h.started) < seatPatience {
+	if h.grants.AcquiringOwnership() && time.Since(h.started) < seatPatience {
 		return errNoSeats
 	}
 	return nil
--- a/internal/serve/store.go
+++ b/internal/serve/store.go
@@ -80,9 +80,9 @@
 			}
 			return uint64(r), err == nil, err
 		},
-		Standing: m.Standing,
-		Lease:    m.Lease,
-		Epoch:    m.Epoch,
+		LeaseExists: m.Standing,
+		Lease:       m.Lease,
+		Epoch:       m.Epoch,
 	}
 }
 
--- a/io/gossip/gossip.go
+++ b/io/gossip/gossip.go
@@ -42,9 +42,9 @@
 	Unreachable                []UnreachableInstance
 	// Reachable are the instances that this host can reach although another host can't.
 	Reachable []fleet.Instance
-	// Catalog is the revision of the catalog's newest change that the host knows, Record that of
-	// the newest record of a promotion request.
-	Catalog, Record uint64
+	// CatalogRevision is the revision of the catalog's newest change that the host knows,
+	// RecordRevision that of the newest record of a promotion request.
+	CatalogRevision, RecordRevision uint64
 	// CatalogAge is the time since the host itself found Catalog to be the newest.
 	CatalogAge time.Duration
 	// Instances is the digest of the list of instances in use, InstancesAge the time since the host
@@ -58,8 +58,8 @@
 	// Address is where the host receives reports.
 	Address string
 	// Received is called with the reports of each datagram: one report from its sender, or several
-	// that a gossip relay has passed on. It is called on the receiving goroutine.
-	Received func(rs []Report, passed bool)
+	// that a gossip relay has forwarded; forwarded tells which. It is called on the receiving goroutine.
+	Received func(rs []Report, forwarded bool)
 	Logger   *zap.Logger
 }
 
@@ -93,7 +93,7 @@
 	return g, nil
 }
 
-// Close closes the socket and waits until the last call of Heard has returned.
+// Close closes the socket and waits until the last call of Received has returned.
 func (g *Gossip) Close() error {
 	err := g.conn.Close()
 	<-g.done
@@ -109,15 +109,16 @@
 			return
 		}
 		if err != nil {
-			// A host that can't be reached sometimes shows as an error of the socket.
+			// After a send to an unreachable host, the read may return an ICMP error. The socket
+			// is still usable.
 			continue
 		}
-		rs, passed, err := decode(b[:n])
+		rs, forwarded, err := decode(b[:n])
 		if err != nil {
 			g.cfg.Logger.Warn("datagram dropped", zap.Error(err))
 			continue
 		}
-		g.cfg.Received(rs, passed)
+		g.cfg.Received(rs, forwarded)
 	}
 }
 
@@ -153,7 +154,7 @@
 	m := &gossippb.Report{
 		Host: string(r.Host), Epoch: r.Epoch, Seq: r.Seq, Leaving: r.Leaving,
 		Reads: r.IsReader, Storeless: r.StoreUnreachable, Capacity: float64(r.Capacity),
-		Catalog: r.Catalog, Record: r.Record, Address: r.Address,
+		Catalog: r.CatalogRevision, Record: r.RecordRevision, Address: r.Address,
 		DataCentre:   string(r.DataCentre),
 		CatalogAgeMs: toMillis(r.CatalogAge), Instances: r.Instances, InstancesAgeMs: toMillis(r.InstancesAge),
 	}
@@ -182,7 +183,7 @@
 	errNoHost    = errors.New("a report without a host")
 )
 
-func decode(b []byte) (rs []Report, passed bool, err error) {
+func decode(b []byte) (rs []Report, forwarded bool, err error) {
 	var m gossippb.Datagram
 	if err := proto.Unmarshal(b, &m); err != nil {
 		return nil, false, err
@@ -203,7 +204,7 @@
 	r := Report{
 		Host: fleet.Host(m.GetHost()), Epoch: m.GetEpoch(), Seq: m.GetSeq(), Leaving: m.GetLeaving(),
 		IsReader: m.GetReads(), StoreUnreachable: m.GetStoreless(), Capacity: fleet.Capacity(m.GetCapacity()),
-		Catalog: m.GetCatalog(), Record: m.GetRecord(), Address: m.GetAddress(),
+		CatalogRevision: m.GetCatalog(), RecordRevision: m.GetRecord(), Address: m.GetAddress(),
 		DataCentre: fleet.DataCentre(m.GetDataCentre()),
 		CatalogAge: time.Duration(m.GetCatalogAgeMs()) * time.Millisecond,
 		Instances:  m.GetInstances(), InstancesAge: time.Duration(m.GetInstancesAgeMs()) * time.Millisecond,
--- a/io/grants/serve.go
+++ b/io/grants/serve.go
@@ -10,22 +10,22 @@
 	"skylarkdeal/core/quota"
 )
 
-// arrival is an exchange on its way to the waiting ones.
+// arrival is an exchange that is queued for the serving goroutine.
 type arrival struct {
 	entry  *entry
 	waiter waiter
 }
 
-// active remembers the entries that are looked after at each tick.
+// active is the set of entries that are checked at each tick.
 type active map[*entry]struct{}
 
-// serve is the one duty that owns the waiting exchanges.
+// serve runs the one goroutine that owns the waiting exchanges.
 func (r *Runtime) serve(ctx context.Context) {
-	t := time.NewTicker(tick)
+	t := time.NewTicker(serveInterval)
 	defer t.Stop()
 	busy := active{}
 	for {
-		// An idle host's ticker would cost it more than all its grants.
+		// On an idle host the ticker would cost more than all its grants.
 		var due <-chan time.Time
 		if len(busy) > 0 {
 			due = t.C
@@ -35,13 +35,13 @@
 			r.refuseAll(busy)
 			return
 		case a := <-r.arrivals.Out():
-			r.arrive(busy, a)
+			r.enqueue(busy, a)
 		case res := <-r.results.Out():
-			r.answered(busy, res)
+			r.handleResults(busy, res)
 		case <-due:
-			r.lookAfter(busy)
-		case returned := <-r.leaves.Out():
-			r.giveBack()
+			r.stepActive(busy)
+		case returned := <-r.leaveRequests.Out():
+			r.returnTokens()
 			close(returned)
 		}
 		r.drain(busy)
@@ -49,31 +49,31 @@
 	}
 }
 
-// drain takes what has come meanwhile, so that one request to a home carries the
-// wants of many exchanges.
+// drain handles the arrivals and results queued meanwhile, so that one request to a
+// home covers many exchanges.
 func (r *Runtime) drain(busy active) {
-	for range arrivals {
+	for range maxArrivals {
 		select {
 		case a := <-r.arrivals.Out():
-			r.arrive(busy, a)
+			r.enqueue(busy, a)
 		case res := <-r.results.Out():
-			r.answered(busy, res)
+			r.handleResults(busy, res)
 		default:
 			return
 		}
 	}
 }
 
-func (r *Runtime) arrive(busy active, a arrival) {
+func (r *Runtime) enqueue(busy active, a arrival) {
 	busy[a.entry] = struct{}{}
 	e := a.entry
-	now := r.clock.late()
+	now := r.clock.suspendAware()
 	if a.waiter.open {
 		e.waiters = slices.Insert(e.waiters, e.open(), a.waiter)
 		r.step(e, now)
 		return
 	}
-	if e.hopeless(now, a.waiter) {
+	if e.cannotMeetDeadline(now, a.waiter) {
 		e.answer(a.waiter, e.refusal(now))
 		return
 	}
@@ -81,8 +81,8 @@
 	r.step(e, now)
 }
 
-// step lets through the exchanges that can be, refuses those that can't in time,
-// and asks for tokens for the others.
+// step admits the exchanges that have their tokens, refuses those that can't get
+// theirs in time, and requests tokens for the others.
 func (r *Runtime) step(e *entry, now time.Time) {
 	for len(e.waiters) > 0 && e.spender.TakeAny(now, e.waiters[0].n) {
 		w := e.waiters[0]
@@ -97,8 +97,8 @@
 	}
 }
 
-// open returns how many of the waiting exchanges, which stand in front, belong to
-// open transactions.
+// open returns how many of the waiting exchanges belong to open transactions; these
+// are at the front.
 func (e *entry) open() int {
 	n := slices.IndexFunc(e.waiters, func(w waiter) bool { return !w.open })
 	if n < 0 {
@@ -107,7 +107,7 @@
 	return n
 }
 
-// wanted returns the tokens that the waiting exchanges need.
+// wanted returns the number of tokens that the waiting exchanges need.
 func (e *entry) wanted() quota.Tokens {
 	var n quota.Tokens
 	for _, w := range e.waiters {
@@ -128,17 +128,17 @@
 	w.done(f)
 }
 
-// hopeless reports whether w can't get its tokens before its limit, with all
-// that wait before it. It is made for an account that sends many times its rate:
-// what is above the rate is answered at once, and no more wait than the rate
-// serves within their patience, so that the others wait no longer than that.
-func (e *entry) hopeless(now time.Time, w waiter) bool {
-	return now.Add(e.soonest(now, e.wanted()+w.n)).After(w.limit)
+// cannotMeetDeadline reports whether w can't get its tokens before its deadline,
+// after all that wait before it. Designed for an account that sends many times its
+// rate: what is above the rate is refused at once, and no more exchanges wait than
+// the rate serves within their timeout, so that none waits longer than that.
+func (e *entry) cannotMeetDeadline(now time.Time, w waiter) bool {
+	return now.Add(e.minWait(now, e.wanted()+w.n)).After(w.deadline)
 }
 
-// soonest returns the least time until n tokens may have come, if no other host
-// wanted any.
-func (e *entry) soonest(now time.Time, n quota.Tokens) time.Duration {
+// minWait returns the least time until n tokens may have arrived, if no other host
+// requested any.
+func (e *entry) minWait(now time.Time, n quota.Tokens) time.Duration {
 	a, ok := e.document.Load().Account(e.account)
 	if !ok {
 		return time.Second
@@ -147,22 +147,22 @@
 }
 
 func (e *entry) refusal(now time.Time) *failure.Refusal {
-	return overRate(e.soonest(now, e.wanted()+1))
+	return overRateRefusal(e.minWait(now, e.wanted()+1))
 }
 
-// refuseLate refuses from the end those that can't be served in time, as they
-// are behind the others, and from the front those whose limit has come.
+// refuseLate refuses exchanges from the end that can't be served in time, as they
+// are behind the others, and from the front those whose deadline has passed.
 func (e *entry) refuseLate(now time.Time) {
 	for n := len(e.waiters); n > 0; n = len(e.waiters) {
 		w := e.waiters[n-1]
 		e.waiters = e.waiters[:n-1]
-		if w.open || !e.hopeless(now, w) {
+		if w.open || !e.cannotMeetDeadline(now, w) {
 			e.waiters = append(e.waiters, w)
 			break
 		}
 		e.answer(w, e.refusal(now))
 	}
-	for len(e.waiters) > 0 && !now.Before(e.waiters[0].limit) {
+	for len(e.waiters) > 0 && !now.Before(e.waiters[0].deadline) {
 		w := e.waiters[0]
 		e.waiters = e.waiters[1:]
 		e.answer(w, e.refusal(now))
@@ -170,35 +170,35 @@
 }
 
 const (
-	// restAfter is how long an entry without exchanges is still looked after.
-	restAfter = time.Second
-	// stockEvery is how often the stock of an entry without waiting exchanges is
-	// looked at: a quarter of the time for which stock is laid in.
-	stockEvery = 25 * time.Millisecond
+	// idleTimeout is how long an entry without exchanges is still checked.
+	idleTimeout = time.Second
+	// stockCheckInterval is how often the stock of an entry without waiting exchanges
+	// is checked: a quarter of the time for which stock is requested ahead.
+	stockCheckInterval = 25 * time.Millisecond
 )
 
-// lookAfter steps the active entries, and lets those rest that have been idle.
-func (r *Runtime) lookAfter(busy active) {
-	now := r.clock.late()
+// stepActive steps the active entries, and removes those that have become idle.
+func (r *Runtime) stepActive(busy active) {
+	now := r.clock.suspendAware()
 	for e := range busy {
-		if len(e.waiters) == 0 && now.Sub(e.checked) < stockEvery {
+		if len(e.waiters) == 0 && now.Sub(e.checked) < stockCheckInterval {
 			continue
 		}
 		e.checked = now
 		r.step(e, now)
-		if len(e.waiters) == 0 && e.spender.Idle(now, restAfter) {
+		if len(e.waiters) == 0 && e.spender.Idle(now, idleTimeout) {
 			delete(busy, e)
 		}
 	}
 }
 
-// refuseAll answers what still waits when the host stops.
+// refuseAll refuses all waiting exchanges when the host stops.
 func (r *Runtime) refuseAll(busy active) {
 	r.stopped.Store(true)
 	r.refuseArrivals()
 	for e := range busy {
 		for _, w := range e.waiters {
-			e.answer(w, stopping())
+			e.answer(w, shuttingDownRefusal())
 		}
 		e.waiters = nil
 	}
--- a/io/groupmonitor/bench_test.go
+++ b/io/groupmonitor/bench_test.go
@@ -13,9 +13,9 @@
 	"skylarkdeal/standin/ledger"
 )
 
-// BenchmarkFailover measures the time from the last good answer of the primary
-// to the next acknowledged write, of a caller that writes on through one host
-// while the primary fails. Run it with -benchtime 30x or more.
+// BenchmarkFailover measures the time from the last acknowledged write in the
+// first term to the next one in a later term, for a caller that keeps writing
+// through one host. Run it with -benchtime 30x or more.
 func BenchmarkFailover(b *testing.B) {
 	for _, kind := range []string{"crash", "hang", "cut"} {
 		b.Run(kind, func(b *testing.B) {
@@ -42,12 +42,12 @@
 	return float64(d.Microseconds()) / 1000
 }
 
-// settleTime is when the quick questions of a start are over, which would make
-// the other hosts notice the failure sooner than they do later on.
+// settleTime is the time after which the fast polling of the start has ended.
+// During it the other hosts would notice the failure sooner than later on.
 const settleTime = 3500 * time.Millisecond
 
-// failOnce runs one failover. The n-th run fails the primary at another phase
-// of the hosts' timers and through another host.
+// failOnce runs one failover. Each n fails the primary at another phase of the
+// hosts' timers and writes through another host.
 func failOnce(b *testing.B, kind string, n int) (time.Duration, *writer) {
 	b.Helper()
 	f := newFleet(b, time.Millisecond)
@@ -63,7 +63,7 @@
 	for i := 0; ; i++ {
 		if !failed && time.Now().After(fail) {
 			failed = true
-			f.strike(kind)
+			f.injectFault(kind)
 		}
 		at, ok := w.write(strconv.Itoa(i), 250*time.Millisecond)
 		if ok && at.Term > 1 {
@@ -78,8 +78,9 @@
 	}
 }
 
-// strike fails instance a, the primary. A cut leaves it with host h0.
-func (f *fleetOf) strike(kind string) {
+// injectFault injects a fault into instance a, the primary. A cut leaves it
+// reachable for host h0 only.
+func (f *ledgerFleet) injectFault(kind string) {
 	switch kind {
 	case "crash":
 		f.set("a", ledger.Fault{Kind: ledger.FaultDie})
@@ -90,7 +91,7 @@
 		f.set("b", ledger.Fault{Kind: ledger.FaultCut, From: []string{"a", "h0"}})
 		f.set("c", ledger.Fault{Kind: ledger.FaultCut, From: []string{"a", "h0"}})
 		f.mu.Lock()
-		f.away["h0"] = true
+		f.cutOffHosts["h0"] = true
 		f.mu.Unlock()
 	}
 }
@@ -131,22 +132,22 @@
 	b.ReportMetric(ms(took[len(took)*99/100]), "p99-ms")
 }
 
-// BenchmarkCalm counts promotions, of which none is due, in runs of 4 s with one
-// fault each: one host's link to the primary is cut, the primary's answers take
-// 400 ms, or the preferred holder is paused for 2 s.
+// BenchmarkCalm counts promotions, of which none is due, in runs of 4 s with
+// one fault each: one host's link to the primary is cut, the primary's statuses
+// take 400 ms, or the preferred holder is paused for 2 s.
 func BenchmarkCalm(b *testing.B) {
-	faults := map[string]func(f *fleetOf){
-		"bad-link": func(f *fleetOf) {
+	faults := map[string]func(f *ledgerFleet){
+		"bad-link": func(f *ledgerFleet) {
 			f.set("a", ledger.Fault{Kind: ledger.FaultCut, From: []string{"h1"}})
 		},
-		"slow-primary": func(f *fleetOf) { f.slow.Store(int64(400 * time.Millisecond)) },
-		"paused-host":  func(f *fleetOf) { f.pause.Store(int64(2 * time.Second)) },
+		"slow-primary": func(f *ledgerFleet) { f.slow.Store(int64(400 * time.Millisecond)) },
+		"paused-host":  func(f *ledgerFleet) { f.pause.Store(int64(2 * time.Second)) },
 	}
 	for name, strike := range faults {
 		b.Run(name, func(b *testing.B) {
 			var promotions int
 			for range b.N {
-				promotions += int(calmOnce(b, strike))
+				promotions += int(countPromotions(b, strike))
 			}
 			b.ReportMetric(0, "ns/op")
 			b.ReportMetric(float64(promotions), "promotions")
@@ -154,7 +155,7 @@
 	}
 }
 
-func calmOnce(b *testing.B, strike func(f *fleetOf)) fleet.Term {
+func countPromotions(b *testing.B, strike func(f *ledgerFleet)) fleet.Term {
 	b.Helper()
 	f := newFleet(b, time.Millisecond)
 	defer f.close()
@@ -170,9 +171,10 @@
 	return f.group.Status(f.group.Primary()).Promised - 1
 }
 
-// BenchmarkIdle reports what three holders spend on groups without traffic, for
-// one to thirty-two groups: questions and processor time a second and a holder.
-// The instances of the stand-in run in the same process and are part of it.
+// BenchmarkIdle reports the cost of groups without traffic for three holders,
+// from one to thirty-two groups: status requests and processor time per second
+// and holder. The instances of the stand-in run in the same process and are
+// included.
 func BenchmarkIdle(b *testing.B) {
 	for _, groups := range []int{1, 8, 32} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) {
@@ -185,24 +187,24 @@
 
 func idleOnce(b *testing.B, groups int) {
 	b.Helper()
-	var fleets []*fleetOf
+	var fleets []*ledgerFleet
 	for range groups {
 		f := newFleet(b, time.Millisecond)
 		defer f.close()
 		fleets = append(fleets, f)
 	}
 	for _, f := range fleets {
-		eventually(b, func() bool { return f.stewards["h0"].Snapshot().Primary != "" })
+		eventually(b, func() bool { return f.monitors["h0"].Snapshot().Primary != "" })
 	}
 	time.Sleep(settleTime)
 	var asked int64
 	for _, f := range fleets {
-		asked -= f.asked.Load()
+		asked -= f.statusRequests.Load()
 	}
 	from, cpu := time.Now(), processorTime(b)
 	time.Sleep(5 * time.Second)
 	for _, f := range fleets {
-		asked += f.asked.Load()
+		asked += f.statusRequests.Load()
 	}
 	took := time.Since(from).Seconds() * float64(len(fleets[0].hosts))
 	b.ReportMetric(0, "ns/op")
--- a/io/groupmonitor/ledger_test.go
+++ b/io/groupmonitor/ledger_test.go
@@ -20,37 +20,37 @@
 	"skylarkdeal/standin/ledger"
 )
 
-// linkTime is one way between the hosts and the instances.
-const linkTime = time.Millisecond
-
-// fleetOf is a stand-in group with three holders before it, each in a data
-// centre with one of the instances.
-type fleetOf struct {
-	ctx      context.Context
-	stop     context.CancelFunc
-	wait     sync.WaitGroup
-	group    *ledger.Group
-	doc      document.Document
-	hosts    []fleet.Member
-	stewards map[fleet.Host]*groupmonitor.Steward
-	mu       sync.Mutex
-	away     map[fleet.Host]bool
-	// slow delays the answers of instance a, pause the next step of host h0.
+// linkDelay is the delay of a link in one direction.
+const linkDelay = time.Millisecond
+
+// ledgerFleet is a stand-in group with three holders, each in the data centre of
+// one of the instances.
+type ledgerFleet struct {
+	ctx         context.Context
+	stop        context.CancelFunc
+	wait        sync.WaitGroup
+	group       *ledger.Group
+	doc         document.Document
+	hosts       []fleet.Member
+	monitors    map[fleet.Host]*groupmonitor.Monitor
+	mu          sync.Mutex
+	cutOffHosts map[fleet.Host]bool
+	// slow delays the statuses of instance a, pause the next step of host h0.
 	slow  atomic.Int64
 	pause atomic.Int64
-	// asked counts the questions of all hosts.
-	asked atomic.Int64
+	// statusRequests counts the status requests of all hosts.
+	statusRequests atomic.Int64
 }
 
-func (f *fleetOf) set(n fleet.Instance, t ledger.Fault) {
+func (f *ledgerFleet) set(n fleet.Instance, t ledger.Fault) {
 	if err := f.group.Set(n, t); err != nil {
 		panic(err)
 	}
 }
 
-func newFleet(tb testing.TB, lag time.Duration) *fleetOf {
+func newFleet(tb testing.TB, lag time.Duration) *ledgerFleet {
 	tb.Helper()
-	f := &fleetOf{stewards: make(map[fleet.Host]*groupmonitor.Steward), away: make(map[fleet.Host]bool)}
+	f := &ledgerFleet{monitors: make(map[fleet.Host]*groupmonitor.Monitor), cutOffHosts: make(map[fleet.Host]bool)}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	names := []fleet.Instance{"a", "b", "c"}
 	cfg := ledger.Config{Service: "orders", Lag: lag}
@@ -75,58 +75,60 @@
 	for i, m := range f.hosts {
 		f.prepare(m, uint64(i+1))
 	}
-	// They ask each other from the start on.
-	for _, s := range f.stewards {
+	// The monitors request views from each other from the start, so all are
+	// made before one runs.
+	for _, s := range f.monitors {
 		f.wait.Go(func() { s.Run(f.ctx) })
 	}
 	return f
 }
 
-func (f *fleetOf) close() {
+func (f *ledgerFleet) close() {
 	f.stop()
 	f.wait.Wait()
 	f.group.Close()
 }
 
-func (f *fleetOf) prepare(m fleet.Member, seed uint64) {
+func (f *ledgerFleet) prepare(m fleet.Member, seed uint64) {
 	s := groupmonitor.New(groupmonitor.Config{
 		Service: "orders", Host: m.Host, DataCentre: m.DataCentre, Epoch: seed, Seed: seed,
 		Document: func() *document.Document { return &f.doc },
 		Dial:     func(i document.Instance) control.Client { return f.dial(m.Host, i) },
 		Holders:  func() []fleet.Member { return f.hosts },
-		AskView: func(ctx context.Context, o fleet.Member) (*hostpb.ViewResponse, error) {
+		RequestView: func(ctx context.Context, o fleet.Member) (*hostpb.ViewResponse, error) {
 			return f.view(ctx, m.Host, o.Host)
 		},
 	})
-	f.stewards[m.Host] = s
+	f.monitors[m.Host] = s
 	if m.Host == "h0" {
 		s.OnChange(func() { _ = sleep(f.ctx, time.Duration(f.pause.Swap(0))) })
 	}
 }
 
-func (f *fleetOf) view(ctx context.Context, from, to fleet.Host) (*hostpb.ViewResponse, error) {
+func (f *ledgerFleet) view(ctx context.Context, from, to fleet.Host) (*hostpb.ViewResponse, error) {
 	f.mu.Lock()
-	gone := f.away[from] || f.away[to]
+	gone := f.cutOffHosts[from] || f.cutOffHosts[to]
 	f.mu.Unlock()
 	if gone {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if err := sleep(ctx, 2*linkTime); err != nil {
+	if err := sleep(ctx, 2*linkDelay); err != nil {
 		return nil, err
 	}
-	return f.stewards[to].HandleView(), nil
+	return f.monitors[to].HandleView(), nil
 }
 
-// dial returns a client whose calls take as long as the links would.
-func (f *fleetOf) dial(h fleet.Host, i document.Instance) control.Client {
+// dial returns a client whose status requests take as long as over a link of
+// linkDelay each way.
+func (f *ledgerFleet) dial(h fleet.Host, i document.Instance) control.Client {
 	k := control.Dial(control.Config{
 		Instance: i.Name, Address: i.Address, User: "u", Password: "p", Database: "orders", Host: h,
 	})
 	return control.Client{
 		Status: func(ctx context.Context) (fleet.Status, error) {
-			f.asked.Add(1)
-			late := 2 * linkTime
+			f.statusRequests.Add(1)
+			late := 2 * linkDelay
 			if i.Name == "a" {
 				late += time.Duration(f.slow.Load())
 			}
@@ -142,15 +144,15 @@
 	}
 }
 
-// writer is a caller of one host that writes on whatever happens.
+// writer is a caller of one host that goes on writing through all faults.
 type writer struct {
-	fleet *fleetOf
+	fleet *ledgerFleet
 	host  fleet.Host
 	rule  document.Acknowledge
 	to    fleet.Instance
 	conn  *pgconn.PgConn
 	acked map[fleet.LogPosition]string
-	// lost is how many writes have had an unknown outcome.
+	// unknown is the number of writes with an unknown outcome.
 	unknown int
 }
 
@@ -165,7 +167,7 @@
 
 // connect returns the connection to the primary, or nil while there is none.
 func (w *writer) connect(ctx context.Context) *pgconn.PgConn {
-	t := w.fleet.stewards[w.host].Snapshot()
+	t := w.fleet.monitors[w.host].Snapshot()
 	p, ok := t.Find(t.Primary)
 	if !ok || p.Silent(time.Now()) > 150*time.Millisecond {
 		return nil
@@ -183,7 +185,7 @@
 	return conn
 }
 
-// write has one value written and acknowledged within limit.
+// write writes one value and waits up to limit for its acknowledgement.
 func (w *writer) write(value string, limit time.Duration) (fleet.LogPosition, bool) {
 	ctx, cancel := context.WithTimeout(w.fleet.ctx, limit)
 	defer cancel()
@@ -192,7 +194,7 @@
 		_ = sleep(ctx, time.Millisecond)
 		return fleet.LogPosition{}, false
 	}
-	_ = sleep(ctx, 2*linkTime)
+	_ = sleep(ctx, 2*linkDelay)
 	if _, err := conn.Exec(ctx, "put k"+value+" "+value).ReadAll(); err != nil {
 		w.close()
 		return fleet.LogPosition{}, false
@@ -203,7 +205,7 @@
 		return fleet.LogPosition{}, false
 	}
 	out := make(chan error, 1)
-	w.fleet.stewards[w.host].Confirm(at, w.rule, time.Now().Add(limit), func(err error) { out <- err })
+	w.fleet.monitors[w.host].Confirm(at, w.rule, time.Now().Add(limit), func(err error) { out <- err })
 	if <-out != nil {
 		w.unknown++
 		return at, false
@@ -212,7 +214,7 @@
 	return at, true
 }
 
-// lost returns how many acknowledged writes the primary doesn't have.
+// lost returns the number of acknowledged writes that the primary doesn't have.
 func (w *writer) lost() int {
 	var n int
 	top := w.fleet.group.Primary()
