--- a/core/pathcost/pathcost.go
+++ b/core/pathcost/pathcost.go
@@ -40,7 +40,7 @@
 	primaryReadCost = 8 * time.Millisecond
 	// defaultLatency is assumed for an instance without recent statements.
 	defaultLatency = 8 * time.Millisecond
-	// coldCost is above the wait at a warm instance, and below silentCost, so that a cold instance is
+	// coldCost is above the wait at a warm instance, and below unreachableCost, so that a cold instance is
 	// preferred to an unreachable one.
 	coldCost = 400 * time.Millisecond
 	// unreachableCost exceeds the longest wait that is still accepted at a reachable instance.
--- a/io/grants/grants.go
+++ b/io/grants/grants.go
@@ -99,7 +99,7 @@
 	witness     quota.Witness
 	lastID      quota.GrantID
 	leaving     bool
-	// claiming is the result of Claiming.
+	// claiming is the result of AcquiringOwnership.
 	claiming atomic.Bool
 }
 
